--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::notes;
 use crate::quarantine::tell;
-use crate::rights::Reservations;
+use crate::quota::Reservations;
 use crate::rollout;
 use crate::watch::copies;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,12 +3,12 @@
 //!
 //! The way of a request is in [`serve`]: `surface` reads it and finds its route and
 //! workspace, `attempt` sends it to one backend server after the other as
-//! [`proof`] allows, and `relay` hands the answer on. [`rights`] keeps a workspace
+//! [`proof`] allows, and `relay` hands the answer on. [`quota`] keeps a workspace
 //! from spending more than it prepaid, [`fleet`] knows the backend servers, and
 //! [`watch`] follows the configuration and the servers' entries on the store.
 //!
 //! What differs between deployments stands behind traits: [`Dialect`], [`Store`] and
-//! [`Catalog`]. Decisions (`proof`, `headroom`, `rights::account`, `model`, `sse`) do no I/O.
+//! [`Catalog`]. Decisions (`proof`, `headroom`, `quota::account`, `model`, `sse`) do no I/O.
 
 mod answer;
 pub mod catalog;
@@ -26,8 +26,8 @@
 pub mod peers;
 pub mod proof;
 pub mod quarantine;
+pub mod quota;
 mod ready;
-pub mod rights;
 pub mod rollout;
 mod router;
 pub mod serve;
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -9,7 +9,7 @@
 use super::{Peers, lock};
 use crate::node::Node;
 use crate::quarantine::tell;
-use crate::rights::holders::{Member, Placement};
+use crate::quota::holders::{Member, Placement};
 use crate::watch::{self, Follow, News, Others};
 
 /// Takes news of a partition of the members' feed.
--- a/crates/gateway/src/rights/book/reserve.rs
+++ b/crates/gateway/src/quota/book/reserve.rs
@@ -9,7 +9,7 @@
 
 use super::{Book, NoRights};
 use crate::dialect::Usage;
-use crate::rights::spend::{Source, Spend};
+use crate::quota::spend::{Source, Spend};
 
 /// How often a waiting request looks whether the growth of a cap covers it. A tenth of the
 /// users' shortest wait.
--- a/crates/gateway/src/serve/journey.rs
+++ b/crates/gateway/src/serve/journey.rs
@@ -25,7 +25,7 @@
 use crate::model::{Replay, Route, RouteKind, Workspace};
 use crate::node::{InFlight, Node};
 use crate::proof::{Outcome, Ran};
-use crate::rights::Spend;
+use crate::quota::Spend;
 
 /// Most servers that one request is offered to, also when none of them ran it.
 const OFFERS: usize = 4;
--- a/crates/gateway/src/serve/surface.rs
+++ b/crates/gateway/src/serve/surface.rs
@@ -19,7 +19,7 @@
 use crate::headroom::head_bytes;
 use crate::model::{Config, Route, Workspace};
 use crate::node::Node;
-use crate::rights::{NoRights, Patience, Remote, Spend};
+use crate::quota::{NoRights, Patience, Remote, Spend};
 
 /// Longest wait for rights, as a part of the time to the answer that the caller hopes for: a
 /// claim or a reservation takes 2 to 40 ms, and what has not come by then seldom comes. A fifth and
--- a/crates/gateway/src/watch/tree.rs
+++ b/crates/gateway/src/watch/tree.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::copies::Upstreams;
-use crate::rights::holders::Member;
+use crate::quota::holders::Member;
 
 /// Largest fleet whose routers all read the store: so few cost less than what they would have to
 /// tell each other.
--- a/crates/gateway/tests/testsuite/accounts.rs
+++ b/crates/gateway/tests/testsuite/accounts.rs
@@ -6,7 +6,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use prost::Message;
-use swiftlink_gateway::rights::account::{
+use swiftlink_gateway::quota::account::{
     MOST_PREPAID, Stake, adjust, close, decode, granted, rest, spent_by_others,
 };
 use swiftlink_wire::rights::{Account, Holder};
--- a/crates/gateway/tests/testsuite/book.rs
+++ b/crates/gateway/tests/testsuite/book.rs
@@ -6,8 +6,8 @@
 
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::model::{Config, RequestLimits, RouteTable, Workspace};
-use swiftlink_gateway::rights::holders::Placement;
-use swiftlink_gateway::rights::{Book, Books, NoRights, Reservations};
+use swiftlink_gateway::quota::holders::Placement;
+use swiftlink_gateway::quota::{Book, Books, NoRights, Reservations};
 use swiftlink_types::WorkspaceName;
 use swiftlink_wire::link::{Ended, Refusal, Reserve};
 use tokio::time::Instant;
--- a/crates/gateway/tests/testsuite/cap.rs
+++ b/crates/gateway/tests/testsuite/cap.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use swiftlink_gateway::clock::Reading;
-use swiftlink_gateway::rights::cap::{Cap, base, draw, elapsed, middle_start, room};
+use swiftlink_gateway::quota::cap::{Cap, base, draw, elapsed, middle_start, room};
 use swiftlink_gateway::sightings::Sighting;
 use swiftlink_types::Tokens;
 
@@ -218,13 +218,13 @@
     let unbound = 3 * (free + reserved + rate * 3 / 2);
     assert!(unbound > prepaid * 3 / 100, "{unbound}: the load shows");
     // Where running requests alone hold more than that, caps grow as ever.
-    let crowded = swiftlink_gateway::rights::cap::room(prepaid, share, 2 * prepaid / 100);
+    let crowded = swiftlink_gateway::quota::cap::room(prepaid, share, 2 * prepaid / 100);
     assert_eq!(
         draw(unspent, rate, crowded),
         draw(unspent, rate, Tokens::MAX)
     );
     // Where a budget is large against its use, caps grow as fast as ever.
-    let plenty = swiftlink_gateway::rights::cap::room(10 * prepaid, share, free + reserved);
+    let plenty = swiftlink_gateway::quota::cap::room(10 * prepaid, share, free + reserved);
     assert_eq!(
         draw(unspent, rate, plenty),
         draw(unspent, rate, Tokens::MAX)
--- a/crates/gateway/tests/testsuite/holders.rs
+++ b/crates/gateway/tests/testsuite/holders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use swiftlink_gateway::rights::holders::Placement;
+use swiftlink_gateway::quota::holders::Placement;
 use swiftlink_types::{VmName, WorkspaceName};
 use tokio::time::Instant;
 
--- a/crates/gateway/tests/testsuite/large.rs
+++ b/crates/gateway/tests/testsuite/large.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use swiftlink_gateway::dialect::Usage;
-use swiftlink_gateway::rights::{NoRights, Spend};
+use swiftlink_gateway::quota::{NoRights, Spend};
 use swiftlink_gateway::store::StoreFault;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
--- a/crates/gateway/tests/testsuite/net.rs
+++ b/crates/gateway/tests/testsuite/net.rs
@@ -12,8 +12,8 @@
 use rand::RngExt;
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::model::{Config, Workspace};
-use swiftlink_gateway::rights::holders::{Member, Placement};
-use swiftlink_gateway::rights::{
+use swiftlink_gateway::quota::holders::{Member, Placement};
+use swiftlink_gateway::quota::{
     Book, Books, Calls, Claims, Missing, NoRights, Patience, Remote, Reservations, Spend, Witness,
 };
 use swiftlink_gateway::sightings::Sighting;
--- a/crates/gateway/tests/testsuite/relay.rs
+++ b/crates/gateway/tests/testsuite/relay.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use swiftlink_gateway::rights::holders::Member;
+use swiftlink_gateway::quota::holders::Member;
 use swiftlink_gateway::store::{Feed, Late, MemStore, Page, Store, StoreError};
 use swiftlink_gateway::watch::{self, Heard, Others, Told, Upstreams, upstreams};
 use swiftlink_gateway::{Catalog, Node};
