--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::notes;
 use crate::quarantine::tell;
-use crate::quota::Reservations;
+use crate::quota::PeerReservations;
 use crate::rollout;
 use crate::watch::copies;
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerHandler {
     pub(crate) node: Arc<Node>,
-    pub(crate) reservations: Arc<Reservations>,
+    pub(crate) reservations: Arc<PeerReservations>,
 }
 
 impl PeerHandler {
--- a/crates/gateway/src/headroom.rs
+++ b/crates/gateway/src/headroom.rs
@@ -102,19 +102,19 @@
     }
 
     /// Takes the bytes of one look's time; says whether that changes [`Self::is_full`] or
-    /// [`Self::is_over`].
-    pub fn look(&mut self, bytes: u64) -> bool {
+    /// [`Self::is_overloaded`].
+    pub fn record(&mut self, bytes: u64) -> bool {
         self.looks.truncate(LONG - 1);
         self.looks.push_front(bytes);
         let before = (self.is_full, self.is_over);
-        self.is_full = above(self.used(), FULL, ROOM, self.is_full);
+        self.is_full = above(self.utilization(), FULL, ROOM, self.is_full);
         self.is_over = above(self.mean(SHORT), OVER, UNDER, self.is_over);
         (self.is_full, self.is_over) != before
     }
 
     /// Part of the link that was used in the last second.
     #[must_use]
-    pub fn used(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         self.mean(LONG)
     }
 
@@ -126,7 +126,7 @@
 
     /// Whether connections should be refused.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.is_over
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -237,7 +237,7 @@
             available += counters.available;
             reserved += counters.reserved;
             charged += counters.charged;
-            locked += book.standing().locked;
+            locked += book.balance().locked;
         }
         self.locked.set(locked);
         self.available.set(available);
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -13,7 +13,7 @@
 use crate::metrics::Metrics;
 use crate::model::Config;
 use crate::quarantine::Quarantine;
-use crate::quota::Books;
+use crate::quota::QuotaTable;
 use crate::quota::holders::Placement;
 use crate::rollout::Reports;
 use crate::settings::RouterSettings;
@@ -36,7 +36,7 @@
     /// The backend servers.
     pub pools: Arc<Pools>,
     /// Rights of the workspaces.
-    pub books: Arc<Books>,
+    pub books: Arc<QuotaTable>,
     /// Requests that are kept away from the servers.
     pub quarantine: Arc<Quarantine>,
     /// What other routers told of roll-outs that this one may lead.
@@ -71,7 +71,8 @@
             )),
             freshness: Freshness::new(Arc::clone(&clock) as _),
             books: Arc::new(
-                Books::new(placement, settings.parts, clock).with_members(settings.members_parts()),
+                QuotaTable::new(placement, settings.parts, clock)
+                    .with_members(settings.members_parts()),
             ),
             settings,
             dialect,
--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -19,7 +19,7 @@
 use crate::fleet::Pools;
 use crate::node::Node;
 use crate::peers::Peers;
-use crate::quota::Calls;
+use crate::quota::PeerClient;
 
 /// Shortest time between two notes. Long prompts are read in a few hundred milliseconds, so most
 /// news comes while it is of use.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::notes;
 use crate::quarantine::ranking;
 use crate::quota::holders::Member;
-use crate::quota::{Calls, Witness};
+use crate::quota::{LastSeen, PeerClient};
 use crate::sightings::{Sighting, Sightings};
 use crate::store::Feed;
 use crate::watch::{Heard, Others, Told, Upstreams, copies};
@@ -283,7 +283,7 @@
         let member = Member {
             vm: vm.clone(),
             domain: DomainName::from(record.domain),
-            strength: record.strength.max(1),
+            cpu_millis: record.strength.max(1),
         };
         lock(&self.members).insert(vm, (member, address));
     }
@@ -297,7 +297,7 @@
 }
 
 #[async_trait]
-impl Calls for Peers {
+impl PeerClient for Peers {
     async fn call(
         &self,
         vm: &VmName,
@@ -325,7 +325,7 @@
 }
 
 #[async_trait]
-impl Witness for Peers {
+impl LastSeen for Peers {
     async fn since(&self, process: u64, stamp: u64) -> Option<Duration> {
         // The routers to ask are known with the secret of their links.
         if timeout(KNOWN_TIME, self.secret()).await.is_err() {
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -82,7 +82,7 @@
         let own = Member {
             vm: settings.vm.clone(),
             domain: settings.domain.clone(),
-            strength: settings.strength,
+            cpu_millis: settings.strength,
         };
         let mut members = peers.members(own);
         members.sort_by(|one, other| one.vm.cmp(&other.vm));
@@ -97,7 +97,7 @@
         }
         placed.clone_from(&members);
         let placement = Placement::new(settings.vm.clone(), members, Instant::now());
-        let holders = placement.linked();
+        let holders = placement.peer_holders();
         event!(
             info,
             "rights.placed",
--- a/crates/gateway/src/quota/account.rs
+++ b/crates/gateway/src/quota/account.rs
@@ -29,10 +29,10 @@
 
 /// Most tokens that a workspace may have prepaid. Sums over all that an account says stay far
 /// below what the figures can hold, and no budget comes near it.
-pub const MOST_PREPAID: Tokens = 1 << 60;
+pub const MAX_PREPAID: Tokens = 1 << 60;
 /// Most that all figures of an account may come to: each token is held, spent and needed at most,
 /// and rates of use are below all three.
-const MOST_SUM: u64 = 4 * MOST_PREPAID;
+const MOST_SUM: u64 = 4 * MAX_PREPAID;
 
 /// Why an account can't be used.
 #[derive(Debug, thiserror::Error)]
--- a/crates/gateway/src/quota/book.rs
+++ b/crates/gateway/src/quota/book.rs
@@ -17,7 +17,7 @@
 
 /// One workspace's rights at this router.
 #[derive(Debug)]
-pub struct Book {
+pub struct LocalQuota {
     /// The workspace.
     pub workspace: WorkspaceName,
     /// What may be spent here.
@@ -110,7 +110,7 @@
 
 /// A router's side of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct Balance {
     /// The most that it spends, as the account has it.
     pub granted: Tokens,
     /// What it has spent.
@@ -125,19 +125,19 @@
 
 /// Why a request gets no rights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoRights {
+pub enum QuotaError {
     /// What is left in the whole fleet doesn't cover it.
-    Spent {
+    Exhausted {
         /// Tokens left.
-        rest: Tokens,
+        remaining: Tokens,
     },
     /// Other routers hold what is left.
-    Elsewhere,
+    HeldElsewhere,
     /// The store can't be reached, and what is held here doesn't cover it.
-    Away,
+    StoreUnavailable,
 }
 
-impl Book {
+impl LocalQuota {
     pub(super) fn new(workspace: WorkspaceName, wakers: Wakers, clock: Arc<dyn Clock>) -> Self {
         Self {
             workspace,
@@ -163,14 +163,14 @@
 
     /// The router's side of the account.
     #[must_use]
-    pub fn standing(&self) -> Standing {
+    pub fn balance(&self) -> Balance {
         let moves = self.moves();
         self.standing_with(&moves)
     }
 
-    fn standing_with(&self, moves: &Moves) -> Standing {
+    fn standing_with(&self, moves: &Moves) -> Balance {
         let counters = self.grant.counters();
-        Standing {
+        Balance {
             granted: used(&counters) + moves.locked,
             charged: counters.charged,
             reserved: counters.reserved,
@@ -291,7 +291,7 @@
     /// not: it has or may want a part of it.
     pub(super) fn is_active(&self, is_holder: bool) -> bool {
         let wants = self.rate() > 0 || self.waiting.load(Relaxed) > 0;
-        wants || is_holder || self.standing().granted > 0
+        wants || is_holder || self.balance().granted > 0
     }
 
     /// Tokens a second that callers lately asked for.
@@ -330,7 +330,7 @@
     /// The most that is left in the whole fleet: others may have spent more since the
     /// account was read, but not less.
     #[must_use]
-    pub fn rest(&self) -> Tokens {
+    pub fn remaining(&self) -> Tokens {
         let charged = self.grant.counters().charged;
         self.prepaid()
             .saturating_sub(self.spent.load(Relaxed) + charged)
--- a/crates/gateway/src/quota/book/reserve.rs
+++ b/crates/gateway/src/quota/book/reserve.rs
@@ -7,15 +7,15 @@
 use swiftlink_types::Tokens;
 use tokio::time::{Instant, timeout_at};
 
-use super::{Book, NoRights};
+use super::{LocalQuota, QuotaError};
 use crate::dialect::Usage;
-use crate::quota::spend::{Source, Spend};
+use crate::quota::spend::{Reservation, Source};
 
 /// How often a waiting request looks whether the growth of a cap covers it. A tenth of the
 /// users' shortest wait.
 const RECHECK: Duration = Duration::from_millis(10);
 
-impl Book {
+impl LocalQuota {
     /// Reserves the most that `usage` can cost, waiting up to `wait` for rights. Where others
     /// hold what is left it doesn't wait.
     ///
@@ -25,16 +25,16 @@
         self: &Arc<Self>,
         usage: Usage,
         wait: Duration,
-    ) -> Result<Spend, NoRights> {
+    ) -> Result<Reservation, QuotaError> {
         if let Some(spend) = self.try_reserve(usage) {
             return Ok(spend);
         }
-        let rest = self.rest();
+        let rest = self.remaining();
         if rest < usage.most() {
-            return Err(NoRights::Spent { rest });
+            return Err(QuotaError::Exhausted { remaining: rest });
         }
         if self.is_withdrawn() {
-            return Err(NoRights::Elsewhere);
+            return Err(QuotaError::HeldElsewhere);
         }
         self.claim(usage, wait).await
     }
@@ -44,16 +44,16 @@
         self: &Arc<Self>,
         usage: Usage,
         wait: Duration,
-    ) -> Result<Spend, NoRights> {
+    ) -> Result<Reservation, QuotaError> {
         let cost = usage.most();
         let until = Instant::now() + wait;
         self.grant.miss(cost);
         let _waiting = Waiting::enter(&self.waiting, cost);
         loop {
             let changed = self.changed.notified();
-            let rest = self.rest();
+            let rest = self.remaining();
             if rest < cost {
-                return Err(NoRights::Spent { rest });
+                return Err(QuotaError::Exhausted { remaining: rest });
             }
             self.ask_for();
             let pause = until.min(Instant::now() + RECHECK);
@@ -66,9 +66,9 @@
                 continue;
             }
             if self.away.load(Relaxed) {
-                return Err(NoRights::Away);
+                return Err(QuotaError::StoreUnavailable);
             }
-            return Err(NoRights::Elsewhere);
+            return Err(QuotaError::HeldElsewhere);
         }
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Reserves the most that `usage` can cost, if there are rights for it now.
-    pub(crate) fn try_reserve(self: &Arc<Self>, usage: Usage) -> Option<Spend> {
+    pub(crate) fn try_reserve(self: &Arc<Self>, usage: Usage) -> Option<Reservation> {
         let cost = usage.most();
         self.largest.fetch_max(cost, Relaxed);
         if self.grant.reserve(cost).is_none() {
@@ -94,7 +94,7 @@
             self.wakers.cap.notify_one();
         }
         let source = Source::Here(Arc::clone(self));
-        Some(Spend::new(source, usage, cost))
+        Some(Reservation::new(source, usage, cost))
     }
 }
 
--- a/crates/gateway/src/quota/books.rs
+++ b/crates/gateway/src/quota/books.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::book::{Book, Wakers};
+use super::book::{LocalQuota, Wakers};
 use super::holders::Placement;
 use crate::clock::Clock;
 use crate::model::Config;
@@ -20,8 +20,8 @@
 
 /// All books of a router.
 #[derive(Debug)]
-pub struct Books {
-    books: ArcSwap<HashMap<WorkspaceName, Arc<Book>>>,
+pub struct QuotaTable {
+    books: ArcSwap<HashMap<WorkspaceName, Arc<LocalQuota>>>,
     /// By partition of the accounts: wakes its claim task.
     wanted: Vec<Arc<Notify>>,
     /// Wakes the task that stores caps.
@@ -34,7 +34,7 @@
     clock: Arc<dyn Clock>,
 }
 
-impl Books {
+impl QuotaTable {
     /// No books; accounts are held as `placement` says, and feeds have `parts` partitions.
     #[must_use]
     pub fn new(placement: Placement, parts: u32, clock: Arc<dyn Clock>) -> Self {
@@ -57,7 +57,7 @@
         (hash % self.wanted.len() as u64) as u32
     }
 
-    /// Takes the workspaces of a configuration. Books of workspaces that are gone stay:
+    /// Takes the workspaces of a configuration. QuotaTable of workspaces that are gone stay:
     /// what was spent on them may have to be told.
     pub fn set_config(&self, config: &Config) {
         let mut books = HashMap::clone(&self.books.load());
@@ -68,7 +68,7 @@
             };
             let book = books.entry(name.clone()).or_insert_with(|| {
                 let clock = Arc::clone(&self.clock);
-                Arc::new(Book::new(name.clone(), self.wakers(name), clock))
+                Arc::new(LocalQuota::new(name.clone(), self.wakers(name), clock))
             });
             book.set_prepaid(prepaid);
         }
@@ -80,13 +80,13 @@
 
     /// The book of a workspace; `None` when it may spend as much as it likes.
     #[must_use]
-    pub fn get(&self, workspace: &WorkspaceName) -> Option<Arc<Book>> {
+    pub fn get(&self, workspace: &WorkspaceName) -> Option<Arc<LocalQuota>> {
         self.books.load().get(workspace).cloned()
     }
 
-    /// Books whose accounts are in `part`.
+    /// QuotaTable whose accounts are in `part`.
     #[must_use]
-    pub fn in_part(&self, part: u32) -> Vec<Arc<Book>> {
+    pub fn in_part(&self, part: u32) -> Vec<Arc<LocalQuota>> {
         let books = self.books.load();
         let books = books
             .values()
@@ -148,7 +148,7 @@
 
     /// All books.
     #[must_use]
-    pub fn all(&self) -> Vec<Arc<Book>> {
+    pub fn all(&self) -> Vec<Arc<LocalQuota>> {
         self.books.load().values().cloned().collect()
     }
 
--- a/crates/gateway/src/quota/caps.rs
+++ b/crates/gateway/src/quota/caps.rs
@@ -15,10 +15,10 @@
 use tokio_util::sync::CancellationToken;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::book::Book;
-use super::books::Books;
+use super::book::LocalQuota;
+use super::books::QuotaTable;
 use super::cap::{self, Cap};
-use super::witness::Witness;
+use super::witness::LastSeen;
 use crate::clock::Reading;
 use crate::peers;
 use crate::store::{ANSWER_TIME, Feed, Record, Store, StoreError};
@@ -116,9 +116,9 @@
 /// Stores caps until it is told to stop.
 pub(super) struct Caps {
     feed: Feed,
-    books: Arc<Books>,
+    books: Arc<QuotaTable>,
     store: Arc<dyn Store>,
-    witness: Arc<dyn Witness>,
+    witness: Arc<dyn LastSeen>,
     process: u64,
     vm: VmName,
     /// Number of the next record.
@@ -133,9 +133,9 @@
 impl Caps {
     /// A task for `process` on `vm`.
     pub(super) fn new(
-        books: &Arc<Books>,
+        books: &Arc<QuotaTable>,
         store: &Arc<dyn Store>,
-        witness: Arc<dyn Witness>,
+        witness: Arc<dyn LastSeen>,
         vm: &VmName,
         process: u64,
     ) -> Self {
@@ -271,7 +271,7 @@
 
     /// Stores a new cap for each book. It is tried until it succeeds: in a cut it is this
     /// record that grows.
-    async fn store_caps(&mut self, books: &[Arc<Book>]) {
+    async fn store_caps(&mut self, books: &[Arc<LocalQuota>]) {
         let stamp = self.books.clock().read();
         let mut caps = Vec::with_capacity(books.len());
         for book in books {
--- a/crates/gateway/src/quota/claim.rs
+++ b/crates/gateway/src/quota/claim.rs
@@ -15,11 +15,11 @@
 use tokio_util::sync::CancellationToken;
 
 use super::account::{self, Closed, Stake};
-use super::book::Book;
-use super::books::Books;
+use super::book::LocalQuota;
+use super::books::QuotaTable;
 use super::caps::{Caps, Ended};
 use super::rate::Rates;
-use super::witness::Witness;
+use super::witness::LastSeen;
 use crate::store::{ANSWER_TIME, Feed, Store, StoreError};
 
 /// Time between looks at the accounts of a partition for each router, so that appends of
@@ -55,9 +55,9 @@
     /// its VM, and `witness` knows of those.
     #[must_use]
     pub fn spawn(
-        books: &Arc<Books>,
+        books: &Arc<QuotaTable>,
         store: &Arc<dyn Store>,
-        witness: Arc<dyn Witness>,
+        witness: Arc<dyn LastSeen>,
         vm: &VmName,
         process: u64,
     ) -> Self {
@@ -112,7 +112,7 @@
 
 struct Part {
     feed: Feed,
-    books: Arc<Books>,
+    books: Arc<QuotaTable>,
     part: u32,
     store: Arc<dyn Store>,
     vm: VmName,
@@ -213,7 +213,8 @@
             self.rates.follow(book);
         }
         let placement = self.books.placement();
-        let is_active = |book: &Arc<Book>| book.is_active(placement.is_holder(&book.workspace));
+        let is_active =
+            |book: &Arc<LocalQuota>| book.is_active(placement.is_holder(&book.workspace));
         self.is_idle = !books.iter().any(is_active);
         if self.is_idle {
             return Ok(());
@@ -237,7 +238,7 @@
     }
 
     /// Writes what should change. Rights that are given back are out of use before.
-    async fn write(&mut self, books: &[Arc<Book>]) -> Result<(), StoreError> {
+    async fn write(&mut self, books: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
         let Some(seen) = &self.seen else {
             return Ok(());
         };
@@ -289,7 +290,7 @@
     }
 
     /// The router may spend `granted` from now on.
-    fn accept(&self, book: &Book, granted: Tokens) {
+    fn accept(&self, book: &LocalQuota, granted: Tokens) {
         let held = book.accept(granted);
         if granted != held {
             let counters = book.grant.counters();
@@ -307,7 +308,7 @@
     }
 
     /// Tells the book what the account says of the whole fleet.
-    fn tell(&self, book: &Book, account: &Account) {
+    fn tell(&self, book: &LocalQuota, account: &Account) {
         let mut holders = Vec::new();
         for holder in &account.holders {
             let unspent = holder.granted.saturating_sub(holder.charged);
@@ -322,7 +323,7 @@
         book.on_reading(spent, rate, holders.collect());
     }
 
-    async fn read_all(&mut self, books: &[Arc<Book>]) -> Result<(), StoreError> {
+    async fn read_all(&mut self, books: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
         let page = self.store.newest(self.feed, ANSWER_TIME.into()).await?;
         let known = self.seen.take().unwrap_or_default();
         if page.end < known.end {
@@ -345,7 +346,7 @@
     /// Reads what others wrote since; after an outage only how accounts stand now, since the
     /// history of a large fleet is a megabyte a partition and second. Once the feed has moved on, an append of ours that
     /// had no answer is in it or never will be.
-    async fn read_news(&mut self, books: &[Arc<Book>]) -> Result<(), StoreError> {
+    async fn read_news(&mut self, books: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
         let Some(seen) = self.seen.as_ref().filter(|_| !self.is_behind) else {
             return self.read_all(books).await;
         };
@@ -373,7 +374,7 @@
         }
     }
 
-    fn take(&mut self, records: Vec<crate::store::Record>, books: &[Arc<Book>]) {
+    fn take(&mut self, records: Vec<crate::store::Record>, books: &[Arc<LocalQuota>]) {
         let Some(seen) = &mut self.seen else {
             return;
         };
@@ -439,8 +440,8 @@
         Err(contended())
     }
 
-    fn stake(&self, book: &Book) -> Stake {
-        let standing = book.standing();
+    fn stake(&self, book: &LocalQuota) -> Stake {
+        let standing = book.balance();
         let placement = self.books.placement();
         Stake {
             vm: self.vm.to_string(),
@@ -463,13 +464,13 @@
 
 /// Takes rights out of use before they are given back. Requests may have taken some in
 /// the meantime; the change is made to fit.
-fn give_back(book: &Book, stake: &Stake, change: &mut account::Change, process: u64) {
+fn give_back(book: &LocalQuota, stake: &Stake, change: &mut account::Change, process: u64) {
     let excess = stake.granted - change.granted;
     let taken = book.give_back(excess);
     change.set_granted(process, stake.granted - taken);
 }
 
-fn log_closed(book: &Book, closed: &[Closed]) {
+fn log_closed(book: &LocalQuota, closed: &[Closed]) {
     for Closed { holder, counted } in closed {
         event!(
             warn,
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -37,7 +37,7 @@
     /// Failure domain of the VM.
     pub domain: DomainName,
     /// Processor time of the VM, in thousandths of a core; at least 1.
-    pub strength: u32,
+    pub cpu_millis: u32,
 }
 
 /// Where accounts are held, as one router sees it.
@@ -122,7 +122,7 @@
     /// `turn` begins with another one of the holders, so that they are used alike also where
     /// one router has most of a workspace's callers.
     #[must_use]
-    pub fn ask(&self, workspace: &WorkspaceName, turn: u64) -> Vec<VmName> {
+    pub fn reserve_order(&self, workspace: &WorkspaceName, turn: u64) -> Vec<VmName> {
         let mut order = self.order(workspace);
         let holders = order.len().min(HOLDERS);
         if holders > 0 {
@@ -134,7 +134,7 @@
 
     /// Other routers that hold accounts, which a router of a large fleet keeps links to.
     #[must_use]
-    pub fn linked(&self) -> Vec<VmName> {
+    pub fn peer_holders(&self) -> Vec<VmName> {
         if self.is_small() {
             return Vec::new();
         }
@@ -144,7 +144,7 @@
 
     /// The first `count` routers for what is called `name`, this one among them if it is one.
     #[must_use]
-    pub fn first(&self, name: &str, count: usize) -> Vec<VmName> {
+    pub fn top_ranked(&self, name: &str, count: usize) -> Vec<VmName> {
         let order = self.order(&WorkspaceName::from(name));
         order.into_iter().take(count).cloned().collect()
     }
@@ -181,13 +181,13 @@
 /// chooses.
 fn choose(mut members: Vec<Member>) -> Vec<Member> {
     members.sort_by_key(|member| {
-        let strength = std::cmp::Reverse(member.strength);
+        let strength = std::cmp::Reverse(member.cpu_millis);
         (strength, hash("", &member.vm), member.vm.clone())
     });
-    let strongest = members.first().map_or(0, |member| member.strength);
+    let strongest = members.first().map_or(0, |member| member.cpu_millis);
     let strong = members
         .iter()
-        .filter(|member| member.strength * STRONG_PART >= strongest);
+        .filter(|member| member.cpu_millis * STRONG_PART >= strongest);
     let count = strong.count().clamp(CANDIDATES_LEAST, CANDIDATES);
     members.truncate(count);
     members
@@ -197,7 +197,7 @@
 /// the workspaces that is in proportion to its strength.
 fn score(workspace: &WorkspaceName, member: &Member) -> f64 {
     let drawn = (hash(workspace.as_str(), &member.vm) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-    -drawn.ln() / f64::from(member.strength.max(1))
+    -drawn.ln() / f64::from(member.cpu_millis.max(1))
 }
 
 fn hash(text: &str, vm: &VmName) -> u64 {
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -3,11 +3,11 @@
 //! What a workspace prepaid is shared out between routers. An [`account`] on the store
 //! says how much each may spend; it changes only by appends on condition, so two routers
 //! never get the same tokens. A router spends from its own part without a message
-//! ([`Book`]), and the tasks of [`Claims`] change the accounts: more rights where they run
+//! ([`LocalQuota`]), and the tasks of [`Claims`] change the accounts: more rights where they run
 //! short, fewer where others need them, and what was spent.
 //!
 //! A request that finds no rights at its router reserves them with one that holds some
-//! ([`Remote`]); they count as reserved there ([`Reservations`]), so that the accounts stay right
+//! ([`Reserver`]); they count as reserved there ([`PeerReservations`]), so that the accounts stay right
 //! whatever becomes of the messages. [`holders`] says who holds the account of a workspace: all
 //! routers of a small fleet, a few of a large one.
 //!
@@ -28,10 +28,10 @@
 mod spend;
 mod witness;
 
-pub use book::{Book, NoRights};
-pub use books::Books;
+pub use book::{LocalQuota, QuotaError};
+pub use books::QuotaTable;
 pub use claim::Claims;
-pub use remote::{Calls, Missing, Patience, Remote};
-pub use reservations::Reservations;
-pub use spend::Spend;
-pub use witness::Witness;
+pub use remote::{PeerClient, ReserveError, Reserver, Timeouts};
+pub use reservations::PeerReservations;
+pub use spend::Reservation;
+pub use witness::LastSeen;
--- a/crates/gateway/src/quota/rate.rs
+++ b/crates/gateway/src/quota/rate.rs
@@ -6,7 +6,7 @@
 use swiftlink_types::{Tokens, WorkspaceName};
 use tokio::time::Instant;
 
-use super::book::Book;
+use super::book::LocalQuota;
 
 /// Shortest time over which the rate of use is taken.
 const RATE_TIME: Duration = Duration::from_millis(400);
@@ -27,7 +27,7 @@
 
 impl Rates {
     /// Takes what was asked of the book since the last time, and tells it the rate.
-    pub(super) fn follow(&mut self, book: &Book) {
+    pub(super) fn follow(&mut self, book: &LocalQuota) {
         let demand = book.grant.demand();
         let asked = (demand.taken + demand.missed).saturating_sub(demand.unspent);
         let now = Instant::now();
--- a/crates/gateway/src/quota/remote.rs
+++ b/crates/gateway/src/quota/remote.rs
@@ -21,9 +21,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use super::book::{Book, NoRights};
-use super::books::Books;
-use super::spend::{Source, Spend};
+use super::book::{LocalQuota, QuotaError};
+use super::books::QuotaTable;
+use super::spend::{Reservation, Source};
 use crate::dialect::Usage;
 
 /// Most answers that one request gets from holders: those that an account is placed on, and
@@ -48,7 +48,7 @@
 
 /// Calls to other routers.
 #[async_trait]
-pub trait Calls: fmt::Debug + Send + Sync {
+pub trait PeerClient: fmt::Debug + Send + Sync {
     /// Calls the router on `vm` if there is a connection to it; opens one else.
     ///
     /// # Errors
@@ -63,18 +63,18 @@
 
 /// How long a request may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Timeouts {
     /// How long it may wait for rights.
     pub wait: Duration,
     /// The longest time until it has ended; a holder keeps its tokens for that long.
-    pub time: Duration,
+    pub request: Duration,
 }
 
 /// Rights of this router's requests, wherever they are held.
 #[derive(Debug)]
-pub struct Remote {
-    books: Arc<Books>,
-    calls: Arc<dyn Calls>,
+pub struct Reserver {
+    books: Arc<QuotaTable>,
+    calls: Arc<dyn PeerClient>,
     process: u64,
     next: AtomicU64,
     ended: Mutex<HashMap<VmName, Vec<Ended>>>,
@@ -83,13 +83,13 @@
 
 /// Why a request gets no rights.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Missing {
+pub struct ReserveError {
     /// What the request is refused for.
-    pub refusal: NoRights,
+    pub reason: QuotaError,
     /// The routers that were asked and what they said, for logs.
     pub asked: String,
     /// The time after which one of them grants it if the store stays away, as far as they know.
-    pub back: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// What the routers said that were asked.
@@ -114,9 +114,9 @@
 
 /// What a holder said.
 enum Answer {
-    Granted(Spend),
+    Granted(Reservation),
     /// The time is that after which it grants it, if it knows.
-    Refused(NoRights, Option<Duration>),
+    Refused(QuotaError, Option<Duration>),
     /// Nothing in time; it may have granted it.
     Silent,
     /// There is no connection to it.
@@ -127,10 +127,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Granted(_) => "granted",
-            Self::Refused(NoRights::Spent { .. }, _) => "spent",
-            Self::Refused(NoRights::Elsewhere, Some(_)) => "locked",
-            Self::Refused(NoRights::Elsewhere, None) => "elsewhere",
-            Self::Refused(NoRights::Away, _) => "store away",
+            Self::Refused(QuotaError::Exhausted { .. }, _) => "spent",
+            Self::Refused(QuotaError::HeldElsewhere, Some(_)) => "locked",
+            Self::Refused(QuotaError::HeldElsewhere, None) => "elsewhere",
+            Self::Refused(QuotaError::StoreUnavailable, _) => "store away",
             Self::Silent => "no answer",
             Self::Down => "no connection",
         })
@@ -140,15 +140,15 @@
 /// Why no holder granted a reservation.
 enum Refused {
     /// The last one said so, and all were reached.
-    By(NoRights),
+    By(QuotaError),
     /// One that may hold the rights wasn't reached.
     Unreached,
 }
 
-impl Remote {
+impl Reserver {
     /// Reserves by `calls` for requests of `process` that its `books` don't cover.
     #[must_use]
-    pub fn new(books: Arc<Books>, calls: Arc<dyn Calls>, process: u64) -> Arc<Self> {
+    pub fn new(books: Arc<QuotaTable>, calls: Arc<dyn PeerClient>, process: u64) -> Arc<Self> {
         Arc::new(Self {
             books,
             calls,
@@ -165,10 +165,10 @@
     /// When nobody in reach grants it.
     pub async fn reserve(
         self: &Arc<Self>,
-        book: &Arc<Book>,
+        book: &Arc<LocalQuota>,
         usage: Usage,
-        patience: Patience,
-    ) -> Result<Spend, Missing> {
+        patience: Timeouts,
+    ) -> Result<Reservation, ReserveError> {
         if let Some(spend) = book.try_reserve(usage) {
             return Ok(spend);
         }
@@ -189,10 +189,10 @@
             if let Some(back) = book.opens_in(usage.most()) {
                 asked.note_back(back);
             }
-            Missing {
-                refusal,
+            ReserveError {
+                reason: refusal,
                 asked: asked.said.join(", "),
-                back: asked.back,
+                retry_after: asked.back,
             }
         })
     }
@@ -200,11 +200,11 @@
     /// Waits for this router's own rights, and asks others when they don't come at once.
     async fn reserve_both(
         self: &Arc<Self>,
-        book: &Arc<Book>,
+        book: &Arc<LocalQuota>,
         usage: Usage,
-        patience: Patience,
+        patience: Timeouts,
         asked: &mut Asked,
-    ) -> Result<Spend, NoRights> {
+    ) -> Result<Reservation, QuotaError> {
         let here = book.reserve(usage, patience.wait);
         let there = async {
             if !book.is_withdrawn() {
@@ -218,7 +218,7 @@
             biased;
             result = &mut here => match result {
                 Ok(spend) => Ok(spend),
-                Err(spent @ NoRights::Spent { .. }) => Err(spent),
+                Err(spent @ QuotaError::Exhausted { .. }) => Err(spent),
                 Err(refusal) => match there.await {
                     Ok(spend) => Ok(spend),
                     Err(Refused::Unreached) if book.is_withdrawn() => {
@@ -239,22 +239,22 @@
     async fn ask_all(
         self: &Arc<Self>,
         order: Vec<VmName>,
-        book: &Arc<Book>,
+        book: &Arc<LocalQuota>,
         usage: Usage,
-        patience: Patience,
+        patience: Timeouts,
         asked: &mut Asked,
-    ) -> Result<Spend, Refused> {
+    ) -> Result<Reservation, Refused> {
         let mut refused = None;
         let mut unreached = false;
         let (mut answers, mut silent) = (0, 0);
         // All together let it wait no longer than one might.
         let mut wait = patience.wait / 2;
         for vm in order {
-            let answer = self.ask(&vm, book, usage, patience.time, wait).await;
+            let answer = self.ask(&vm, book, usage, patience.request, wait).await;
             asked.note(&vm, &answer);
             match answer {
                 Answer::Granted(spend) => return Ok(spend),
-                Answer::Refused(spent @ NoRights::Spent { .. }, _) => {
+                Answer::Refused(spent @ QuotaError::Exhausted { .. }, _) => {
                     return Err(Refused::By(spent));
                 }
                 Answer::Refused(refusal, _) => {
@@ -279,13 +279,13 @@
     }
 
     /// Those that the account is placed on, and others that may stand in for them.
-    fn holders(&self, book: &Book) -> Vec<VmName> {
+    fn holders(&self, book: &LocalQuota) -> Vec<VmName> {
         let turn = self.next.load(Relaxed);
-        self.books.placement().ask(&book.workspace, turn)
+        self.books.placement().reserve_order(&book.workspace, turn)
     }
 
     /// The same for a router that reads the account: those that hold most first.
-    fn most_first(&self, book: &Book) -> Vec<VmName> {
+    fn most_first(&self, book: &LocalQuota) -> Vec<VmName> {
         let mut order = Vec::clone(&book.holders());
         for vm in self.holders(book) {
             if !order.contains(&vm) {
@@ -298,13 +298,13 @@
     async fn ask(
         self: &Arc<Self>,
         vm: &VmName,
-        book: &Arc<Book>,
+        book: &Arc<LocalQuota>,
         usage: Usage,
         time: Duration,
         wait: Duration,
     ) -> Answer {
         let tokens = usage.most();
-        let mut reservation = Reservation {
+        let mut reservation = RemoteReservation {
             remote: Arc::clone(self),
             vm: vm.clone(),
             number: self.next.fetch_add(1, Relaxed),
@@ -323,7 +323,9 @@
         let call = self.calls.call(vm, kind, SILENCE.max(wait + WAY_TIME));
         match timeout(wait + WAY_TIME, call).await {
             Ok(Ok(reply::Kind::Reserved(reserved))) => match refusal(&reserved, book.prepaid()) {
-                None => Answer::Granted(Spend::new(Source::There(reservation), usage, tokens)),
+                None => {
+                    Answer::Granted(Reservation::new(Source::There(reservation), usage, tokens))
+                }
                 Some(refusal) => {
                     reservation.forget();
                     let back = reserved.back_ms.map(|ms| Duration::from_millis(ms.into()));
@@ -417,15 +419,15 @@
 
 /// Why the holder didn't grant it; `None` when it did. One that doesn't know of all that was
 /// `prepaid` can't say that it is spent.
-fn refusal(reserved: &Reserved, prepaid: Tokens) -> Option<NoRights> {
+fn refusal(reserved: &Reserved, prepaid: Tokens) -> Option<QuotaError> {
     match reserved.refusal() {
         Refusal::Unspecified => None,
-        Refusal::Spent if reserved.prepaid < prepaid => Some(NoRights::Elsewhere),
-        Refusal::Spent => Some(NoRights::Spent {
-            rest: reserved.rest,
+        Refusal::Spent if reserved.prepaid < prepaid => Some(QuotaError::HeldElsewhere),
+        Refusal::Spent => Some(QuotaError::Exhausted {
+            remaining: reserved.rest,
         }),
-        Refusal::Elsewhere => Some(NoRights::Elsewhere),
-        Refusal::Away => Some(NoRights::Away),
+        Refusal::Elsewhere => Some(QuotaError::HeldElsewhere),
+        Refusal::Away => Some(QuotaError::StoreUnavailable),
     }
 }
 
@@ -436,14 +438,14 @@
 /// Tokens that another router may have set aside for a request. When it ends, or is dropped
 /// before the answer is known, the other router is told.
 #[derive(Debug)]
-pub(super) struct Reservation {
-    remote: Arc<Remote>,
+pub(super) struct RemoteReservation {
+    remote: Arc<Reserver>,
     vm: VmName,
     number: u64,
     open: bool,
 }
 
-impl Reservation {
+impl RemoteReservation {
     /// The request has ended and has spent so many tokens.
     pub(super) fn end(&mut self, spent: Tokens) {
         if !std::mem::take(&mut self.open) {
@@ -465,7 +467,7 @@
     }
 }
 
-impl Drop for Reservation {
+impl Drop for RemoteReservation {
     fn drop(&mut self) {
         self.end(0);
     }
--- a/crates/gateway/src/quota/reservations.rs
+++ b/crates/gateway/src/quota/reservations.rs
@@ -11,10 +11,10 @@
 use swiftlink_wire::link::{Ended, Refusal, Reserve, Reserved};
 use tokio::time::Instant;
 
-use super::book::NoRights;
-use super::books::Books;
+use super::book::QuotaError;
+use super::books::QuotaTable;
 use super::remote::millis;
-use super::spend::Spend;
+use super::spend::Reservation;
 use crate::dialect::Usage;
 
 /// Time after the longest time of a request in which its router may still say what it spent.
@@ -25,22 +25,22 @@
 
 /// All reservations of other routers.
 #[derive(Debug, Default)]
-pub struct Reservations(Mutex<HashMap<Key, State>>);
+pub struct PeerReservations(Mutex<HashMap<Key, State>>);
 
 #[derive(Debug)]
 enum State {
     /// Asked for, and not decided yet.
     Waiting,
     Held {
-        spend: Spend,
+        spend: Reservation,
         until: Instant,
     },
 }
 
-impl Reservations {
+impl PeerReservations {
     /// Sets tokens aside for a request of another router, which waits for them for as long as
     /// it says.
-    pub async fn reserve(&self, books: &Books, ask: &Reserve) -> Reserved {
+    pub async fn reserve(&self, books: &QuotaTable, ask: &Reserve) -> Reserved {
         let workspace = WorkspaceName::from(ask.workspace.as_str());
         let Some(book) = books.get(&workspace) else {
             // This router's configuration is older than the other one's, or newer.
@@ -69,9 +69,9 @@
                 }
                 Refusal::Unspecified
             }
-            Err(NoRights::Spent { .. }) => Refusal::Spent,
-            Err(NoRights::Elsewhere) => Refusal::Elsewhere,
-            Err(NoRights::Away) => Refusal::Away,
+            Err(QuotaError::Exhausted { .. }) => Refusal::Spent,
+            Err(QuotaError::HeldElsewhere) => Refusal::Elsewhere,
+            Err(QuotaError::StoreUnavailable) => Refusal::Away,
         };
         let back = match refusal {
             Refusal::Elsewhere | Refusal::Away => book.opens_in(ask.tokens),
@@ -80,7 +80,7 @@
         Reserved {
             refusal: refusal.into(),
             back_ms: back.map(millis),
-            rest: book.rest(),
+            rest: book.remaining(),
             prepaid: book.prepaid(),
             ..Reserved::default()
         }
--- a/crates/gateway/src/quota/spend.rs
+++ b/crates/gateway/src/quota/spend.rs
@@ -4,8 +4,8 @@
 
 use swiftlink_types::Tokens;
 
-use super::book::Book;
-use super::remote::Reservation;
+use super::book::LocalQuota;
+use super::remote::RemoteReservation;
 use crate::dialect::Usage;
 
 /// Rights that one request holds. When it is dropped, what was not spent is free again.
@@ -13,7 +13,7 @@
 /// A caller who gets nothing of an answer pays nothing, whatever ran: the users' platform
 /// counts what a workspace gets.
 #[derive(Debug)]
-pub struct Spend {
+pub struct Reservation {
     source: Source,
     usage: Usage,
     reserved: Tokens,
@@ -24,12 +24,12 @@
 #[derive(Debug)]
 pub(super) enum Source {
     /// In this router's own rights.
-    Here(Arc<Book>),
+    Here(Arc<LocalQuota>),
     /// At another router.
-    There(Reservation),
+    There(RemoteReservation),
 }
 
-impl Spend {
+impl Reservation {
     /// Of `reserved` tokens that are set aside for a request.
     pub(super) fn new(source: Source, usage: Usage, reserved: Tokens) -> Self {
         Self {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Spend {
+impl Drop for Reservation {
     fn drop(&mut self) {
         match &mut self.source {
             Source::Here(book) => {
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -32,18 +32,18 @@
     let mut looks = interval_at(Instant::now() + SAMPLE, SAMPLE);
     loop {
         looks.tick().await;
-        if !headroom.look(node.traffic.take()) {
+        if !headroom.record(node.traffic.take()) {
             continue;
         }
         let is_full = headroom.is_full();
         node.is_full.store(is_full, Relaxed);
-        gate.set(!headroom.is_over());
+        gate.set(!headroom.is_overloaded());
         event!(
             info,
             "link.room",
             full = is_full,
-            refusing = headroom.is_over(),
-            used = format_args!("{:.2}", headroom.used()),
+            refusing = headroom.is_overloaded(),
+            used = format_args!("{:.2}", headroom.utilization()),
             bytes_per_s = rate,
             in_flight = node.in_flight(),
         );
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -19,7 +19,7 @@
 use crate::node::Node;
 use crate::peers::{self, Peers};
 use crate::quarantine::{self, tell};
-use crate::quota::{Calls, Claims, Remote, Reservations};
+use crate::quota::{Claims, PeerClient, PeerReservations, Reserver};
 use crate::ready::{self, Readiness};
 use crate::serve::Surface;
 use crate::settings::RouterSettings;
@@ -56,7 +56,7 @@
     pub(crate) readiness: WebServer,
     pub(crate) metrics: Option<WebServer>,
     pub(crate) claims: Claims,
-    pub(crate) remote: Arc<Remote>,
+    pub(crate) remote: Arc<Reserver>,
     pub(crate) tasks: JoinSet<()>,
 }
 
@@ -118,8 +118,8 @@
                 Arc::clone(&adapter.catalog),
             ));
         }
-        let calls = Arc::clone(&peers) as Arc<dyn Calls>;
-        let remote = Remote::new(Arc::clone(&node.books), calls, node.process);
+        let calls = Arc::clone(&peers) as Arc<dyn PeerClient>;
+        let remote = Reserver::new(Arc::clone(&node.books), calls, node.process);
         tasks.spawn(Arc::clone(&remote).run());
         let vm = &node.settings.vm;
         let claims = Claims::spawn(&node.books, &store, peers, vm, node.process);
@@ -246,7 +246,7 @@
         settings.members_part(&settings.domain),
     );
     tasks.spawn(told);
-    let reservations = Arc::new(Reservations::default());
+    let reservations = Arc::new(PeerReservations::default());
     tasks.spawn(expire(Arc::clone(&reservations)));
     let handler = Arc::new(PeerHandler {
         node: Arc::clone(node),
@@ -268,7 +268,7 @@
 }
 
 /// Ends reservations that other routers have not released, until the task is aborted.
-async fn expire(reservations: Arc<Reservations>) {
+async fn expire(reservations: Arc<PeerReservations>) {
     loop {
         sleep(EXPIRE_PERIOD).await;
         let tokens = reservations.expire();
--- a/crates/gateway/src/serve/journey.rs
+++ b/crates/gateway/src/serve/journey.rs
@@ -25,7 +25,7 @@
 use crate::model::{Replay, Route, RouteKind, Workspace};
 use crate::node::{InFlight, Node};
 use crate::proof::{Outcome, Ran};
-use crate::quota::Spend;
+use crate::quota::Reservation;
 
 /// Most servers that one request is offered to, also when none of them ran it.
 const OFFERS: usize = 4;
@@ -55,7 +55,7 @@
     /// What it is known by when its caller sends it again.
     pub(super) origin: Arc<Origin>,
     pub(super) ask: Ask,
-    pub(super) spend: Option<Spend>,
+    pub(super) spend: Option<Reservation>,
     /// Failure domains that it may go to; all where there is nothing.
     pub(super) domains: Option<HashSet<DomainName>>,
     /// Version of the configuration that it was admitted under.
@@ -128,7 +128,7 @@
 
     /// Tokens that it has spent.
     pub(super) fn spent(&self) -> Tokens {
-        self.spend.as_ref().map_or(0, Spend::spent)
+        self.spend.as_ref().map_or(0, Reservation::spent)
     }
 
     /// A whole answer goes out.
--- a/crates/gateway/src/serve/surface.rs
+++ b/crates/gateway/src/serve/surface.rs
@@ -19,7 +19,7 @@
 use crate::headroom::head_bytes;
 use crate::model::{Config, Route, Workspace};
 use crate::node::Node;
-use crate::quota::{NoRights, Patience, Remote, Spend};
+use crate::quota::{QuotaError, Reservation, Reserver, Timeouts};
 
 /// Longest wait for rights, as a part of the time to the answer that the caller hopes for: a
 /// claim or a reservation takes 2 to 40 ms, and what has not come by then seldom comes. A fifth and
@@ -42,7 +42,7 @@
     /// What the router knows.
     pub node: Arc<Node>,
     /// Where rights are reserved.
-    pub remote: Arc<Remote>,
+    pub remote: Arc<Reserver>,
 }
 
 #[async_trait(?Send)]
@@ -155,7 +155,7 @@
         workspace: Option<&Workspace>,
         ask: &Ask,
         time: Duration,
-    ) -> Result<Option<Spend>, Refusal> {
+    ) -> Result<Option<Reservation>, Refusal> {
         let (Some(workspace), Some(usage)) = (workspace, ask.usage) else {
             return Ok(None);
         };
@@ -163,17 +163,20 @@
             return Ok(None);
         };
         let wait = (route.aim / RIGHTS_PART).max(RIGHTS_LEAST);
-        let patience = Patience { wait, time };
+        let patience = Timeouts {
+            wait,
+            request: time,
+        };
         let missing = match self.remote.reserve(&book, usage, patience).await {
             Ok(spend) => return Ok(Some(spend)),
             Err(missing) => missing,
         };
-        let refusal = match missing.refusal {
-            NoRights::Spent { .. } => Refusal::Spent,
-            NoRights::Elsewhere => Refusal::NoRights(missing.back.map(spread)),
-            NoRights::Away => Refusal::StoreAway(missing.back.map(spread)),
+        let refusal = match missing.reason {
+            QuotaError::Exhausted { .. } => Refusal::Spent,
+            QuotaError::HeldElsewhere => Refusal::NoRights(missing.retry_after.map(spread)),
+            QuotaError::StoreUnavailable => Refusal::StoreAway(missing.retry_after.map(spread)),
         };
-        let standing = book.standing();
+        let standing = book.balance();
         event!(
             info,
             "rights.missing",
@@ -184,11 +187,13 @@
             reserved = standing.reserved,
             locked = standing.locked,
             cap_age_ms = standing.cap_age.unwrap_or(0),
-            rest = book.rest(),
+            rest = book.remaining(),
             prepaid = book.prepaid(),
             read_age_ms = book.read_age_ms(),
             asked = missing.asked,
-            back_ms = missing.back.map_or(-1, |back| back.as_millis() as i64),
+            back_ms = missing
+                .retry_after
+                .map_or(-1, |back| back.as_millis() as i64),
             refusal = refusal.as_str(),
         );
         Err(refusal)
--- a/crates/gateway/src/watch/tree.rs
+++ b/crates/gateway/src/watch/tree.rs
@@ -69,7 +69,7 @@
 /// The routers of each domain, the strongest first.
 fn domains(members: &[Member]) -> BTreeMap<(u64, &DomainName), Vec<&VmName>> {
     let mut sorted: Vec<&Member> = members.iter().collect();
-    sorted.sort_by_key(|member| (Reverse(member.strength), hash(&member.vm), &member.vm));
+    sorted.sort_by_key(|member| (Reverse(member.cpu_millis), hash(&member.vm), &member.vm));
     let mut domains: BTreeMap<(u64, &DomainName), Vec<&VmName>> = BTreeMap::new();
     for member in sorted {
         let key = (xxh3_64(member.domain.as_str().as_bytes()), &member.domain);
--- a/crates/gateway/tests/testsuite/accounts.rs
+++ b/crates/gateway/tests/testsuite/accounts.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use prost::Message;
 use swiftlink_gateway::quota::account::{
-    MOST_PREPAID, Stake, adjust, close, decode, granted, rest, spent_by_others,
+    MAX_PREPAID, Stake, adjust, close, decode, granted, rest, spent_by_others,
 };
 use swiftlink_wire::rights::{Account, Holder};
 
@@ -210,7 +210,7 @@
     /// Sums of figures beyond any budget came to little where they didn't fit, and so to rights
     /// that nobody had prepaid.
     #[test]
-    fn any_account_is_refused_or_can_be_worked_out(account in any_account(), prepaid in 0..=MOST_PREPAID) {
+    fn any_account_is_refused_or_can_be_worked_out(account in any_account(), prepaid in 0..=MAX_PREPAID) {
         let value = Bytes::from(account.encode_to_vec());
         if let Ok(account) = decode(value) {
             work_out(&account, prepaid);
@@ -230,8 +230,8 @@
     let holder = |process| Holder {
         vm: format!("vm{process}"),
         process,
-        granted: MOST_PREPAID / 2,
-        charged: MOST_PREPAID / 2,
+        granted: MAX_PREPAID / 2,
+        charged: MAX_PREPAID / 2,
         rate: 1_000_000,
         need: 1_000_000,
     };
--- a/crates/gateway/tests/testsuite/headroom.rs
+++ b/crates/gateway/tests/testsuite/headroom.rs
@@ -17,7 +17,7 @@
 /// Looks at a link that is used like this, for so many looks.
 fn look(headroom: &mut Headroom, used: f64, looks: usize) {
     for _ in 0..looks {
-        headroom.look(part(used));
+        headroom.record(part(used));
     }
 }
 
@@ -27,7 +27,7 @@
     for used in [0.2, 0.6, 0.1, 0.65] {
         look(&mut headroom, used, LOOKS);
         assert!(!headroom.is_full(), "{used}");
-        assert!(!headroom.is_over(), "{used}");
+        assert!(!headroom.is_overloaded(), "{used}");
     }
 }
 
@@ -47,7 +47,7 @@
     let mut headroom = Headroom::new(RATE);
     look(&mut headroom, 0.5, LOOKS);
     look(&mut headroom, 1.0, 3);
-    assert!(headroom.is_over(), "connections are refused first");
+    assert!(headroom.is_overloaded(), "connections are refused first");
     assert!(!headroom.is_full());
     look(&mut headroom, 1.0, 2);
     assert!(headroom.is_full());
@@ -57,7 +57,7 @@
 fn one_full_look_is_no_reason_to_refuse() {
     let mut headroom = Headroom::new(RATE);
     look(&mut headroom, 0.5, LOOKS);
-    assert!(!headroom.look(part(1.0)));
+    assert!(!headroom.record(part(1.0)));
 }
 
 #[test]
@@ -144,7 +144,7 @@
         }
         let target = self.vms.iter().position(|vm| vm.misses < 2).unwrap_or(0);
         let vm = &mut self.vms[target];
-        if self.tells && vm.headroom.is_over() {
+        if self.tells && vm.headroom.is_overloaded() {
             self.lost += fresh * time;
         } else {
             vm.rate += fresh;
@@ -153,7 +153,7 @@
             vm.waiting += vm.rate * BYTES * time;
             let carried = vm.waiting.min(most);
             vm.waiting -= carried;
-            vm.headroom.look(carried as u64);
+            vm.headroom.record(carried as u64);
             if vm.waiting > PATIENCE * RATE as f64 {
                 // Nobody waits for these answers any more, and half of the callers connect anew.
                 self.lost += vm.rate * time;
--- a/crates/gateway/tests/testsuite/holders.rs
+++ b/crates/gateway/tests/testsuite/holders.rs
@@ -20,7 +20,7 @@
 fn each_router_of_a_small_fleet_holds_a_part_of_each_account() {
     for own in 0..8 {
         assert!(placement(own, 8).is_holder(&workspace(own)));
-        assert!(placement(own, 8).linked().is_empty());
+        assert!(placement(own, 8).peer_holders().is_empty());
     }
 }
 
@@ -37,7 +37,7 @@
             domains.sort();
             domains.dedup();
             assert_eq!(domains.len(), 3, "{count} routers: {holders:?}");
-            assert!(holders.iter().all(|vm| all[*vm].strength == 500));
+            assert!(holders.iter().all(|vm| all[*vm].cpu_millis == 500));
         }
     }
 }
@@ -46,7 +46,7 @@
 #[test]
 fn a_router_keeps_a_bounded_number_of_links() {
     for count in [30, 300, 1_000] {
-        let linked = placement(count - 1, count).linked().len();
+        let linked = placement(count - 1, count).peer_holders().len();
         assert!((3..=24).contains(&linked), "{linked} of {count}");
     }
 }
@@ -55,7 +55,7 @@
 fn routers_ask_the_holders_first_and_begin_with_each_in_turn() {
     let mut first: HashMap<VmName, usize> = HashMap::new();
     for own in 100..300 {
-        let order = placement(own, 300).ask(&workspace(1), own as u64);
+        let order = placement(own, 300).reserve_order(&workspace(1), own as u64);
         let holders = &order[..3];
         for vm in holders {
             let index = (0..300).find(|index| name(*index) == *vm).expect("a VM");
@@ -75,8 +75,8 @@
     let before = Placement::new(name(200), all, Instant::now());
     let after = Placement::new(name(200), without, Instant::now());
     for index in 0..40 {
-        let mut old: Vec<_> = before.ask(&workspace(index), 0)[..3].to_vec();
-        let mut new: Vec<_> = after.ask(&workspace(index), 0)[..3].to_vec();
+        let mut old: Vec<_> = before.reserve_order(&workspace(index), 0)[..3].to_vec();
+        let mut new: Vec<_> = after.reserve_order(&workspace(index), 0)[..3].to_vec();
         old.sort();
         new.sort();
         if !old.contains(&name(0)) {
@@ -89,5 +89,5 @@
 fn nobody_holds_what_nobody_asked_for_before_the_members_are_known() {
     let placement = Placement::unknown(name(0));
     assert!(!placement.is_holder(&workspace(0)));
-    assert!(placement.ask(&workspace(0), 0).is_empty());
+    assert!(placement.reserve_order(&workspace(0), 0).is_empty());
 }
--- a/crates/gateway/tests/testsuite/large.rs
+++ b/crates/gateway/tests/testsuite/large.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use swiftlink_gateway::dialect::Usage;
-use swiftlink_gateway::quota::{NoRights, Spend};
+use swiftlink_gateway::quota::{QuotaError, Reservation};
 use swiftlink_gateway::store::StoreFault;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
@@ -49,7 +49,7 @@
 }
 
 /// Holds its tokens for as long as a request takes, and spends what it was given for.
-async fn run(mut spend: Spend, output: u64) -> u64 {
+async fn run(mut spend: Reservation, output: u64) -> u64 {
     sleep(Duration::from_millis(300)).await;
     spend.deliver(output);
     spend.spent()
@@ -203,7 +203,7 @@
             }
             Err(missing) => missing,
         };
-        sleep(missing.back.unwrap_or(Duration::from_secs(1)) + spread).await;
+        sleep(missing.retry_after.unwrap_or(Duration::from_secs(1)) + spread).await;
         match vm.try_reserve(workspace, usage).await {
             Ok(spend) => {
                 run(spend, 50).await;
@@ -279,13 +279,16 @@
         .reserve(0, usage)
         .await
         .expect_err("too little is left");
-    assert!(matches!(refused, NoRights::Spent { .. }), "{refused:?}");
+    assert!(
+        matches!(refused, QuotaError::Exhausted { .. }),
+        "{refused:?}"
+    );
     asker.books.set_config(&workspaces(1, 100_000));
     let refused = asker
         .reserve(0, usage)
         .await
         .expect_err("holders know less");
-    assert_eq!(refused, NoRights::Elsewhere);
+    assert_eq!(refused, QuotaError::HeldElsewhere);
 }
 
 /// One history: routers ask and spend while holders and askers are killed, answers are lost,
--- a/crates/gateway/tests/testsuite/losses.rs
+++ b/crates/gateway/tests/testsuite/losses.rs
@@ -12,7 +12,7 @@
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::model::Workspace;
 use swiftlink_gateway::quota::holders::Placement;
-use swiftlink_gateway::quota::{Book, Witness};
+use swiftlink_gateway::quota::{LastSeen, LocalQuota};
 use swiftlink_gateway::sightings::Sighting;
 use swiftlink_gateway::store::{Feed, MemStore, StoreFault};
 use swiftlink_types::WorkspaceName;
@@ -34,7 +34,7 @@
 }
 
 #[async_trait]
-impl Witness for Peer {
+impl LastSeen for Peer {
     async fn since(&self, _process: u64, stamp: u64) -> Option<Duration> {
         let sighting = Sighting {
             steady: self.ended - 100,
@@ -98,7 +98,7 @@
         sleep(Duration::from_millis(900)).await;
         let routers = start_all(&store, &clocks, ROUTERS as u64 + 1);
         sleep(Duration::from_secs(5)).await;
-        let left = routers[0].book.rest();
+        let left = routers[0].book.remaining();
         let least = PREPAID * 98 / 100;
         assert!(
             left >= least,
@@ -108,7 +108,7 @@
 }
 
 /// Spends a prompt of `tokens` if there are rights for it within `wait`; gives what was spent.
-async fn spend(book: &Arc<Book>, tokens: u64, wait: Duration) -> u64 {
+async fn spend(book: &Arc<LocalQuota>, tokens: u64, wait: Duration) -> u64 {
     let usage = Usage {
         prompt: tokens,
         output: 0,
@@ -121,7 +121,7 @@
 }
 
 /// Spends what is left of the budget, a thousand tokens at a time.
-async fn spend_rest(book: &Arc<Book>, wait: Duration) -> u64 {
+async fn spend_rest(book: &Arc<LocalQuota>, wait: Duration) -> u64 {
     let mut spent = 0;
     for _step in 0..400 {
         spent += spend(book, 1_000, wait).await;
@@ -167,7 +167,7 @@
         }
         spend_some(&router.book).await;
         router.claims.abort();
-        let witness: Arc<dyn Witness> = if is_seen {
+        let witness: Arc<dyn LastSeen> = if is_seen {
             Arc::new(Peer {
                 ended: clock.steady(),
                 at: Instant::now(),
@@ -179,7 +179,7 @@
         sleep(Duration::from_millis(1_000)).await;
         let next = start_seen(&store, 0, 2, PREPAID, clock, witness);
         sleep(Duration::from_secs(2)).await;
-        left.push(next.book.rest());
+        left.push(next.book.remaining());
     }
     assert!(left[1] >= left[0] + PREPAID / 20, "{left:?}");
 }
@@ -228,7 +228,7 @@
     router.claims.abort();
     let next = start_at(&store, 0, 2, PREPAID, clock);
     sleep(Duration::from_secs(2)).await;
-    assert_eq!(next.book.standing().granted, 0);
+    assert_eq!(next.book.balance().granted, 0);
     store.set_fault(StoreFault::None);
     spent += spend_rest(&next.book, Duration::from_millis(200)).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
@@ -236,7 +236,7 @@
 }
 
 /// Spends thirty thousand tokens or so in three seconds.
-async fn spend_some(book: &Arc<Book>) -> u64 {
+async fn spend_some(book: &Arc<LocalQuota>) -> u64 {
     let mut spent = 0;
     for _step in 0..30 {
         spent += spend(book, 1_000, Duration::from_millis(50)).await;
@@ -280,7 +280,7 @@
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
     // One of a hundred routers, and not strong enough to hold accounts.
     let mut fleet = members(100);
-    fleet[0].strength = 1;
+    fleet[0].cpu_millis = 1;
     let placement = Placement::new(name(0), fleet, Instant::now());
     router.books.set_placement(placement);
     let mut both = config(Some(PREPAID));
@@ -303,7 +303,7 @@
     // Without callers it gives all back; the other workspace's request goes on.
     sleep(Duration::from_secs(120)).await;
     assert!(held.is_ok());
-    assert_eq!(router.book.standing().granted, 0);
+    assert_eq!(router.book.balance().granted, 0);
     store.set_fault(StoreFault::NoNumbered);
     let mut spent = spend(&router.book, large.prompt, wait).await;
     router.claims.abort();
--- a/crates/gateway/tests/testsuite/net.rs
+++ b/crates/gateway/tests/testsuite/net.rs
@@ -14,7 +14,8 @@
 use swiftlink_gateway::model::{Config, Workspace};
 use swiftlink_gateway::quota::holders::{Member, Placement};
 use swiftlink_gateway::quota::{
-    Book, Books, Calls, Claims, Missing, NoRights, Patience, Remote, Reservations, Spend, Witness,
+    Claims, LastSeen, LocalQuota, PeerClient, PeerReservations, QuotaError, QuotaTable,
+    Reservation, ReserveError, Reserver, Timeouts,
 };
 use swiftlink_gateway::sightings::Sighting;
 use swiftlink_gateway::store::{Feed, MemStore, Store};
@@ -38,7 +39,7 @@
     let member = |vm: usize| Member {
         vm: name(vm),
         domain: DomainName::from(format!("domain{}", vm % 6)),
-        strength: if vm < (count / STRONG_EACH).max(6) {
+        cpu_millis: if vm < (count / STRONG_EACH).max(6) {
             500
         } else {
             120
@@ -72,8 +73,8 @@
 #[derive(Debug)]
 struct Ends {
     process: u64,
-    books: Arc<Books>,
-    reservations: Arc<Reservations>,
+    books: Arc<QuotaTable>,
+    reservations: Arc<PeerReservations>,
 }
 
 /// The links of all routers.
@@ -111,7 +112,7 @@
 }
 
 #[async_trait]
-impl Calls for Links {
+impl PeerClient for Links {
     async fn call(
         &self,
         vm: &VmName,
@@ -153,7 +154,7 @@
 }
 
 #[async_trait]
-impl Witness for Net {
+impl LastSeen for Net {
     async fn since(&self, process: u64, stamp: u64) -> Option<Duration> {
         let (steady, asked) = *self.seen.lock().expect("a lock").get(&process)?;
         let sighting = Sighting { steady, asked: 0 };
@@ -164,9 +165,9 @@
 
 /// A running router.
 pub(crate) struct Vm {
-    pub(crate) books: Arc<Books>,
+    pub(crate) books: Arc<QuotaTable>,
     pub(crate) claims: Claims,
-    remote: Arc<Remote>,
+    remote: Arc<Reserver>,
     releases: JoinHandle<()>,
 }
 
@@ -211,16 +212,16 @@
             .put(Feed::Members(0), name(vm).as_str(), Some(record));
         let members = members(self.clocks.len());
         let placement = Placement::new(name(vm), members, Instant::now());
-        let books = Arc::new(Books::new(placement, 12, clock));
+        let books = Arc::new(QuotaTable::new(placement, 12, clock));
         books.set_config(&self.config);
         let store: Arc<dyn Store> = Arc::clone(&self.store) as Arc<dyn Store>;
-        let witness = Arc::clone(&self.net) as Arc<dyn Witness>;
+        let witness = Arc::clone(&self.net) as Arc<dyn LastSeen>;
         let claims = Claims::spawn(&books, &store, witness, &name(vm), process);
         let links = Links {
             net: Arc::clone(&self.net),
             own: name(vm),
         };
-        let remote = Remote::new(Arc::clone(&books), Arc::new(links), process);
+        let remote = Reserver::new(Arc::clone(&books), Arc::new(links), process);
         let ends = Ends {
             process,
             books: Arc::clone(&books),
@@ -263,15 +264,19 @@
 }
 
 impl Vm {
-    fn book(&self, workspace: usize) -> Arc<Book> {
+    fn book(&self, workspace: usize) -> Arc<LocalQuota> {
         let workspace = WorkspaceName::from(format!("w{workspace}"));
         self.books.get(&workspace).expect("a book")
     }
 
     /// Reserves for a request of the workspace.
-    pub(crate) async fn reserve(&self, workspace: usize, usage: Usage) -> Result<Spend, NoRights> {
+    pub(crate) async fn reserve(
+        &self,
+        workspace: usize,
+        usage: Usage,
+    ) -> Result<Reservation, QuotaError> {
         let reserved = self.try_reserve(workspace, usage).await;
-        reserved.map_err(|missing| missing.refusal)
+        reserved.map_err(|missing| missing.reason)
     }
 
     /// The same, and why it gets none.
@@ -279,10 +284,10 @@
         &self,
         workspace: usize,
         usage: Usage,
-    ) -> Result<Spend, Missing> {
-        let patience = Patience {
+    ) -> Result<Reservation, ReserveError> {
+        let patience = Timeouts {
             wait: Duration::from_millis(100),
-            time: Duration::from_secs(6),
+            request: Duration::from_secs(6),
         };
         let book = self.book(workspace);
         self.remote.reserve(&book, usage, patience).await
--- a/crates/gateway/tests/testsuite/rights.rs
+++ b/crates/gateway/tests/testsuite/rights.rs
@@ -14,7 +14,7 @@
 use swiftlink_gateway::clock::Clock;
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::quota::holders::Placement;
-use swiftlink_gateway::quota::{Book, Books, Claims, NoRights, Witness};
+use swiftlink_gateway::quota::{Claims, LastSeen, LocalQuota, QuotaError, QuotaTable};
 use swiftlink_gateway::store::{Feed, MemStore, Store, StoreFault};
 use swiftlink_types::{VmName, WorkspaceName};
 use swiftlink_wire::rights::Member;
@@ -30,8 +30,8 @@
 
 pub(crate) struct Router {
     pub(crate) claims: Claims,
-    pub(crate) book: Arc<Book>,
-    pub(crate) books: Arc<Books>,
+    pub(crate) book: Arc<LocalQuota>,
+    pub(crate) books: Arc<QuotaTable>,
 }
 
 pub(crate) fn start(store: &Arc<MemStore>, vm: usize, process: u64, prepaid: u64) -> Router {
@@ -53,7 +53,7 @@
 pub(crate) struct Nobody;
 
 #[async_trait]
-impl Witness for Nobody {
+impl LastSeen for Nobody {
     async fn since(&self, _process: u64, _stamp: u64) -> Option<Duration> {
         None
     }
@@ -65,7 +65,7 @@
     process: u64,
     prepaid: u64,
     clock: Arc<TestClock>,
-    witness: Arc<dyn Witness>,
+    witness: Arc<dyn LastSeen>,
 ) -> Router {
     let member = Member {
         started_ms: clock.read().wall,
@@ -75,7 +75,7 @@
     store.put(Feed::Members(0), &format!("vm{vm}"), Some(member));
     let own = VmName::from(format!("vm{vm}"));
     let placement = Placement::new(own.clone(), members(ROUTERS), Instant::now());
-    let books = Arc::new(Books::new(placement, 2, clock));
+    let books = Arc::new(QuotaTable::new(placement, 2, clock));
     books.set_config(&config(Some(prepaid)));
     let store: Arc<dyn Store> = Arc::clone(store) as Arc<dyn Store>;
     let claims = Claims::spawn(&books, &store, witness, &own, process);
@@ -101,7 +101,7 @@
 }
 
 /// One request; gives the tokens that it spent.
-pub(crate) async fn request(book: &Arc<Book>, rng: &mut Pcg64) -> u64 {
+pub(crate) async fn request(book: &Arc<LocalQuota>, rng: &mut Pcg64) -> u64 {
     let usage = Usage {
         prompt: rng.random_range(1..3_000),
         output: rng.random_range(0..500),
@@ -325,8 +325,8 @@
     };
     let wait = Duration::from_secs(5);
     let refused = router.book.reserve(usage, wait).await;
-    assert_eq!(refused.err(), Some(NoRights::Elsewhere));
+    assert_eq!(refused.err(), Some(QuotaError::HeldElsewhere));
     store.set_fault(StoreFault::Away);
     let refused = router.book.reserve(usage, wait).await;
-    assert_eq!(refused.err(), Some(NoRights::Away));
+    assert_eq!(refused.err(), Some(QuotaError::StoreUnavailable));
 }
