--- a/crates/gateway/src/headroom.rs
+++ b/crates/gateway/src/headroom.rs
@@ -1,14 +1,14 @@
-//! How full the VM's network link is, and whether it has room for more callers. No I/O.
+//! How busy the VM's network link is, and whether it has capacity for more callers. No I/O.
 //!
 //! The balancer sends all callers of a workspace in a failure domain to one router while that
-//! is ready. Where they bring more than its link carries, answers, rights and the balancer's own
-//! questions wait behind the callers' bodies, and the router loses most of what it takes. So it
-//! says that it is full before the link is: new connections go to other routers, those that are
-//! open stay, and a busy workspace spreads over more than one router.
+//! is ready. Where they send more than its link carries, answers, quota messages and the balancer's
+//! own health checks queue behind the callers' bodies, and the router loses most of what it
+//! accepts. So the router reports itself full before the link is: new connections go to other
+//! routers, open ones stay, and a busy workspace spreads over more than one router.
 //!
-//! Measured in a fleet of 295 VMs, where the callers of one workspace in one failure domain brought
-//! twice what a link of 20 Mbit/s carries for six seconds: of the requests of that failure domain
-//! within 34 seconds 28 in 100 were refused or failed without this, and 11 in 100 with it.
+//! In a fleet of 295 VMs, the callers of one workspace in one failure domain sent twice what a link
+//! of 20 Mbit/s carries for six seconds. Of the requests of that failure domain within 34 seconds,
+//! 28 in 100 were refused or failed without this, and 11 in 100 with it.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -16,30 +16,30 @@
 
 use http::HeaderMap;
 
-/// Time between two looks at the link.
+/// Interval between two samples of the link.
 pub const SAMPLE: Duration = Duration::from_millis(100);
-/// Looks that decide whether new callers should go elsewhere: a second, the period of the
-/// balancer's questions; shorter bursts fit into the queues on the way.
-const LONG: usize = 10;
-/// Looks that decide whether connections are refused: what has queued up in this time is still
-/// read before the callers' patience ends.
-const SHORT: usize = 3;
-/// Part of the link from which on new callers should go elsewhere. The balancer believes the
-/// second answer, so they come for one to two seconds more, and packets that aren't counted
-/// (acknowledgements, handshakes) take up to a tenth.
-const FULL: f64 = 0.7;
-/// Part of the link under which it has room again: far enough below [`FULL`] that the callers who
-/// come back don't fill it at once.
-const ROOM: f64 = 0.45;
-/// Part of the link from which on connections are refused: beyond it what came first is answered
-/// too late for its callers.
-const OVER: f64 = 0.92;
-/// Part of the link under which connections are taken again.
-const UNDER: f64 = 0.8;
-/// Bytes of a header line beside its name and value: a colon, a blank and the line's end.
-const LINE: usize = 4;
-
-/// Bytes that came and went since the last look.
+/// Samples that decide whether new callers should go elsewhere: one second, the interval of the
+/// balancer's health checks. Shorter bursts fit into the queues on the way.
+const LONG_SAMPLES: usize = 10;
+/// Samples that decide whether connections are refused: what queues up in this time is still read
+/// before callers time out.
+const SHORT_SAMPLES: usize = 3;
+/// Utilization from which on new callers should go elsewhere. The balancer acts on the second
+/// failed health check, so new callers keep coming for one to two seconds, and packets that aren't
+/// counted (acknowledgements, handshakes) take up to a tenth of the link.
+const FULL_AT: f64 = 0.7;
+/// Utilization below which new callers are accepted again: far enough below [`FULL_AT`] that the
+/// callers who return don't fill the link at once.
+const FULL_UNTIL: f64 = 0.45;
+/// Utilization from which on connections are refused: above it, earlier requests are answered too
+/// late for their callers.
+const OVERLOADED_AT: f64 = 0.92;
+/// Utilization below which connections are accepted again.
+const OVERLOADED_UNTIL: f64 = 0.8;
+/// Bytes of a header line besides its name and value: a colon, a space and the line's end.
+const LINE_OVERHEAD: usize = 4;
+
+/// Bytes received and sent since the last sample.
 #[derive(Debug, Default)]
 pub struct Traffic {
     inward: AtomicU64,
@@ -47,75 +47,79 @@
 }
 
 impl Traffic {
-    /// Bytes of a request came from a caller.
+    /// Counts bytes of a request received from a caller.
     pub fn received(&self, bytes: usize) {
         self.inward.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// Bytes of a request went to a backend server.
+    /// Counts bytes of a request sent to a backend server.
     pub fn sent(&self, bytes: usize) {
         self.outward.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// Bytes of an answer came from a backend server and went to a caller.
+    /// Counts bytes of an answer received from a backend server and sent to a caller.
     pub fn relayed(&self, bytes: usize) {
         self.inward.fetch_add(bytes as u64, Relaxed);
         self.outward.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// Gives what was counted in the direction that had more, and begins anew.
+    /// Returns the count of the busier direction, and resets both.
     pub fn take(&self) -> u64 {
         let inward = self.inward.swap(0, Relaxed);
         inward.max(self.outward.swap(0, Relaxed))
     }
 }
 
-/// Bytes of a head with such headers.
+/// Bytes of an HTTP head's header lines.
 #[must_use]
 pub fn head_bytes(headers: &HeaderMap) -> usize {
     let lines = headers.iter();
-    let lines = lines.map(|(name, value)| name.as_str().len() + value.len() + LINE);
+    let lines = lines.map(|(name, value)| name.as_str().len() + value.len() + LINE_OVERHEAD);
     lines.sum()
 }
 
-/// Whether the link has room for more callers, and for more connections.
+/// Whether the link has capacity for more callers, and for more connections.
 #[derive(Debug)]
 pub struct Headroom {
-    /// Bytes that the link carries in one look's time, each way.
-    most: f64,
-    /// Bytes of the last looks, the newest first.
-    looks: VecDeque<u64>,
+    /// Bytes that the link carries in the time of a sample, each way.
+    capacity: f64,
+    /// Bytes of the last samples, the newest first.
+    samples: VecDeque<u64>,
     is_full: bool,
-    is_over: bool,
+    is_overloaded: bool,
 }
 
 impl Headroom {
-    /// Of an idle link that carries `rate` bytes a second each way.
+    /// The state of an idle link that carries `rate` bytes a second each way.
     #[must_use]
     pub fn new(rate: u64) -> Self {
         Self {
-            most: rate as f64 * SAMPLE.as_secs_f64(),
-            looks: VecDeque::with_capacity(LONG),
+            capacity: rate as f64 * SAMPLE.as_secs_f64(),
+            samples: VecDeque::with_capacity(LONG_SAMPLES),
             is_full: false,
-            is_over: false,
+            is_overloaded: false,
         }
     }
 
-    /// Takes the bytes of one look's time; says whether that changes [`Self::is_full`] or
-    /// [`Self::is_overloaded`].
+    /// Adds a sample; returns whether that changes [`Self::is_full`] or [`Self::is_overloaded`].
     pub fn record(&mut self, bytes: u64) -> bool {
-        self.looks.truncate(LONG - 1);
-        self.looks.push_front(bytes);
-        let before = (self.is_full, self.is_over);
-        self.is_full = above(self.utilization(), FULL, ROOM, self.is_full);
-        self.is_over = above(self.mean(SHORT), OVER, UNDER, self.is_over);
-        (self.is_full, self.is_over) != before
+        self.samples.truncate(LONG_SAMPLES - 1);
+        self.samples.push_front(bytes);
+        let before = (self.is_full, self.is_overloaded);
+        self.is_full = hysteresis(self.utilization(), FULL_AT, FULL_UNTIL, self.is_full);
+        self.is_overloaded = hysteresis(
+            self.mean(SHORT_SAMPLES),
+            OVERLOADED_AT,
+            OVERLOADED_UNTIL,
+            self.is_overloaded,
+        );
+        (self.is_full, self.is_overloaded) != before
     }
 
-    /// Part of the link that was used in the last second.
+    /// Fraction of the link's capacity that was used in the last second.
     #[must_use]
     pub fn utilization(&self) -> f64 {
-        self.mean(LONG)
+        self.mean(LONG_SAMPLES)
     }
 
     /// Whether new callers should go elsewhere.
@@ -127,16 +131,16 @@
     /// Whether connections should be refused.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        self.is_over
+        self.is_overloaded
     }
 
-    fn mean(&self, looks: usize) -> f64 {
-        let bytes: u64 = self.looks.iter().take(looks).sum();
-        bytes as f64 / (self.most * looks as f64)
+    fn mean(&self, samples: usize) -> f64 {
+        let bytes: u64 = self.samples.iter().take(samples).sum();
+        bytes as f64 / (self.capacity * samples as f64)
     }
 }
 
-/// Whether `used` is over a limit that it passes at `high` and leaves at `low`.
-fn above(used: f64, high: f64, low: f64, was: bool) -> bool {
-    used >= high || (was && used > low)
+/// Whether a state is on that turns on when `value` reaches `high` and off when it falls to `low`.
+fn hysteresis(value: f64, high: f64, low: f64, was_on: bool) -> bool {
+    value >= high || (was_on && value > low)
 }
--- a/crates/gateway/src/quota/account.rs
+++ b/crates/gateway/src/quota/account.rs
@@ -7,105 +7,106 @@
 use swiftlink_types::Tokens;
 use swiftlink_wire::rights::{Account, Holder};
 
-/// Part of what is left that routers hold: use may rise while the store is out of reach. The
-/// rest is free for those who run short, and is there after a loss of all machines.
-const HELD: f64 = 0.9;
-/// Part of the shares that is dealt evenly, for callers who come to another router; the
-/// rest goes by the rate of use, since callers mostly stay at their router. Even shares alone
-/// measured 0.03 to 0.05 of worth less, 0.13 to 0.21 on quiet days.
-const EVEN_PART: f64 = 0.05;
-/// Requests of the largest kind that a router's part should cover. When less is left, fewer
-/// routers share it: parts of a request's size serve nobody.
-const PART_REQUESTS: Tokens = 16;
-/// Seconds of its use that a router holds of an account that isn't placed on it: it stands in
-/// for holders that are gone, and more rights come within a tenth of a second.
-const STAND_IN_SECS: f64 = 2.0;
-/// A router gives rights back from this multiple of its target on.
-const EXCESS: f64 = 1.3;
-/// A router asks for more below this part of its target.
-const SHORT: f64 = 0.8;
-/// Part of what it holds that a router may spend before it says so.
-const STALE_PART: f64 = 0.1;
+/// Fraction of the remaining tokens that routers hold: use may rise while the store is
+/// unreachable. The rest is free for routers that run short, and stays available after a loss of
+/// all machines.
+const HELD_FRACTION: f64 = 0.9;
+/// Fraction of the shares that is divided evenly, for callers who move to another router. The
+/// rest is divided by the rate of use, since callers mostly stay at their router. Even shares
+/// alone scored 0.03 to 0.05 lower, 0.13 to 0.21 lower on quiet days.
+const EVEN_FRACTION: f64 = 0.05;
+/// Requests of the largest size that a router's share should cover. When less remains, fewer
+/// routers share it: shares smaller than a request are useless.
+const REQUESTS_PER_SHARE: Tokens = 16;
+/// Seconds of its own use that a router holds of an account that isn't placed on it. It replaces
+/// holders that are gone, and can claim more within a tenth of a second.
+const NON_HOLDER_SECS: f64 = 2.0;
+/// A router returns quota when it holds more than this multiple of its target.
+const RETURN_ABOVE: f64 = 1.3;
+/// A router claims quota when it holds less than this fraction of its target.
+const CLAIM_BELOW: f64 = 0.8;
+/// Fraction of its target that a router may spend before it records that in the account.
+const UNREPORTED_FRACTION: f64 = 0.1;
 
-/// Most tokens that a workspace may have prepaid. Sums over all that an account says stay far
-/// below what the figures can hold, and no budget comes near it.
+/// Most tokens that a workspace may have prepaid. It keeps the sums over an account far below the
+/// range of `u64`, and is far above any real budget.
 pub const MAX_PREPAID: Tokens = 1 << 60;
-/// Most that all figures of an account may come to: each token is held, spent and needed at most,
-/// and rates of use are below all three.
-const MOST_SUM: u64 = 4 * MAX_PREPAID;
+/// Most that all numbers of an account may add up to: each token is held, spent and needed once
+/// at most, and rates of use are below all three.
+const MAX_SUM: u64 = 4 * MAX_PREPAID;
 
 /// Why an account can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum AccountError {
-    /// Its bytes say something else.
+    /// The bytes aren't an account.
     #[error(transparent)]
-    Form(#[from] prost::DecodeError),
-    /// Its figures are beyond any budget.
-    #[error("its figures come to more than {MOST_SUM}")]
+    Decode(#[from] prost::DecodeError),
+    /// The token counts are beyond any budget.
+    #[error("token counts of the account add up to more than {MAX_SUM}")]
     TooLarge,
 }
 
-/// Reads an account.
+/// Decodes an account.
 ///
 /// # Errors
-/// When it is something else, or its sums can't be worked out.
+/// When the bytes aren't an account, or its numbers add up to more than any budget allows.
 pub fn decode(value: Bytes) -> Result<Account, AccountError> {
     let account = Account::decode(value)?;
     let mut sum = Some(account.closed);
     for holder in &account.holders {
-        for figure in [holder.granted, holder.charged, holder.rate, holder.need] {
-            sum = sum.and_then(|sum| sum.checked_add(figure));
+        for count in [holder.granted, holder.charged, holder.rate, holder.need] {
+            sum = sum.and_then(|sum| sum.checked_add(count));
         }
     }
     match sum {
-        Some(sum) if sum <= MOST_SUM => Ok(account),
+        Some(sum) if sum <= MAX_SUM => Ok(account),
         _ => Err(AccountError::TooLarge),
     }
 }
 
-/// A router's side of an account.
+/// What a router knows of its own part of an account.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stake {
-    /// Its VM.
+pub struct RouterState {
+    /// The router's VM.
     pub vm: String,
-    /// Its process.
+    /// The router's process.
     pub process: u64,
-    /// The most that it spends, since its start.
+    /// Tokens that the process may spend in total, since it started.
     pub granted: Tokens,
-    /// What it has spent.
+    /// Tokens that the process has spent.
     pub charged: Tokens,
     /// Tokens that running requests hold.
     pub reserved: Tokens,
-    /// Tokens a second that are asked for.
+    /// Tokens a second that callers ask for.
     pub rate: u64,
-    /// Tokens that waiting requests lack rights for; 0 when none waits.
+    /// Tokens that waiting requests lack; 0 when none waits.
     pub need: Tokens,
-    /// Whether it should hold a part also while it doesn't use it.
+    /// Whether the router should hold a share even while it doesn't use it.
     pub is_holder: bool,
-    /// Routers that the account is meant to be shared between.
+    /// Number of routers that the account is meant to be shared between.
     pub sharers: usize,
-    /// Its place among them; the last ones leave what is left to the others first. `None`
-    /// where all share alike, however little is left.
+    /// The router's place among the sharers. When little remains, the last ones leave it to the
+    /// first. `None` where all have equal shares, however little remains.
     pub rank: Option<usize>,
-    /// Tokens of the largest request that it has seen.
+    /// Tokens of the largest request that the router has seen.
     pub largest: Tokens,
     /// Earlier processes on this VM, and the most that each has spent of this account.
     pub ended: HashMap<u64, Tokens>,
 }
 
-/// What to write, and what the router may spend once it is written.
+/// A new state of an account, and what the router may spend once it is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The account's new state.
     pub account: Account,
-    /// The router's rights in it.
+    /// Tokens that the new state grants to the router.
     pub granted: Tokens,
-    /// Earlier processes on its VM that it closes.
-    pub closed: Vec<Closed>,
+    /// Earlier processes on the router's VM that the change closes.
+    pub closed: Vec<ClosedHolder>,
 }
 
 impl Change {
-    /// The router of `process` may spend `granted`, and the account says so.
+    /// Sets what the router of `process` is granted, here and in the account.
     pub(super) fn set_granted(&mut self, process: u64, granted: Tokens) {
         self.granted = granted;
         for holder in &mut self.account.holders {
@@ -116,21 +117,21 @@
     }
 }
 
-/// What is left of `prepaid` by what all routers say that they have spent.
+/// Tokens that remain of `prepaid` after what all routers have recorded as spent.
 #[must_use]
-pub fn rest(account: &Account, prepaid: Tokens) -> Tokens {
+pub fn remaining(account: &Account, prepaid: Tokens) -> Tokens {
     let charged: Tokens = account.holders.iter().map(|holder| holder.charged).sum();
     prepaid.saturating_sub(account.closed + charged)
 }
 
-/// What all but `process` have spent, as far as they say.
+/// Tokens that all but `process` have recorded as spent.
 #[must_use]
 pub fn spent_by_others(account: &Account, process: u64) -> Tokens {
     let charged: Tokens = others(account, process).map(|holder| holder.charged).sum();
     account.closed + charged
 }
 
-/// Tokens a second that all but `process` use, as far as they say.
+/// Tokens a second that all but `process` have recorded as their rate of use.
 #[must_use]
 pub fn rate_of_others(account: &Account, process: u64) -> u64 {
     others(account, process).map(|holder| holder.rate).sum()
@@ -141,7 +142,7 @@
     holders.filter(move |holder| holder.process != process)
 }
 
-/// The router's rights as the account has them.
+/// Tokens that the account grants to `process`; `None` if it has no entry.
 #[must_use]
 pub fn granted(account: &Account, process: u64) -> Option<Tokens> {
     let holder = account
@@ -151,39 +152,39 @@
     Some(holder.granted)
 }
 
-/// How `stake` changes the account, if it should.
+/// How `router` should change the account; `None` when it should leave it as it is.
 #[must_use]
-pub fn adjust(account: &Account, prepaid: Tokens, stake: &Stake) -> Option<Change> {
-    let (mut base, closed) = without(account, stake);
-    let target = target(&base, prepaid, stake);
-    let unspent = stake.granted.saturating_sub(stake.charged);
-    let granted = stake.charged + resize(unspent, target, stake);
-    let known = account
+pub fn adjust(account: &Account, prepaid: Tokens, router: &RouterState) -> Option<Change> {
+    let (mut base, closed) = without_vm(account, router);
+    let target = target(&base, prepaid, router);
+    let unspent = router.granted.saturating_sub(router.charged);
+    let granted = router.charged + resize(unspent, target, router);
+    let entry = account
         .holders
         .iter()
-        .find(|holder| holder.process == stake.process);
-    // What an earlier process here held and has spent looks held until it is closed, and callers
-    // of the other routers are told to come back for it.
-    let is_due = match known {
+        .find(|holder| holder.process == router.process);
+    // Until an earlier process on this VM is closed, what it held and has spent looks available
+    // there, and the other routers tell their callers to retry for it.
+    let is_due = match entry {
         _ if !closed.is_empty() => true,
-        None => granted > 0 || stake.need > 0,
-        Some(known) => {
-            let unsaid = stake.charged.saturating_sub(known.charged);
-            granted != known.granted
-                || known.need != stake.need
-                || unsaid as f64 > target as f64 * STALE_PART
+        None => granted > 0 || router.need > 0,
+        Some(entry) => {
+            let unreported = router.charged.saturating_sub(entry.charged);
+            granted != entry.granted
+                || entry.need != router.need
+                || unreported as f64 > target as f64 * UNREPORTED_FRACTION
         }
     };
     if !is_due {
         return None;
     }
     base.holders.push(Holder {
-        vm: stake.vm.clone(),
-        process: stake.process,
+        vm: router.vm.clone(),
+        process: router.process,
         granted,
-        charged: stake.charged,
-        rate: stake.rate,
-        need: stake.need,
+        charged: router.charged,
+        rate: router.rate,
+        need: router.need,
     });
     Some(Change {
         account: base,
@@ -192,136 +193,136 @@
     })
 }
 
-/// The account without this router, which has ended its work.
+/// The account without this router, for when its process stops.
 #[must_use]
-pub fn close(account: &Account, stake: &Stake) -> Account {
-    let (mut base, _) = without(account, stake);
-    base.closed += stake.charged;
+pub fn close(account: &Account, router: &RouterState) -> Account {
+    let (mut base, _) = without_vm(account, router);
+    base.closed += router.charged;
     base
 }
 
-/// The account without this VM, and the earlier processes on it that are closed: what each has
-/// spent at most counts as spent.
-fn without(account: &Account, stake: &Stake) -> (Account, Vec<Closed>) {
+/// The account without the router's VM, and the earlier processes on that VM that this closes:
+/// the most that each can have spent counts as spent.
+fn without_vm(account: &Account, router: &RouterState) -> (Account, Vec<ClosedHolder>) {
     let mut base = Account {
         closed: account.closed,
         holders: Vec::with_capacity(account.holders.len() + 1),
     };
     let mut closed = Vec::new();
     for holder in &account.holders {
-        if holder.process == stake.process {
+        if holder.process == router.process {
             continue;
         }
         let holder = holder.clone();
-        if holder.vm != stake.vm {
+        if holder.vm != router.vm {
             base.holders.push(holder);
             continue;
         }
-        let counted = spent_at_most(&holder, stake);
+        let counted = max_spent(&holder, router);
         base.closed += counted;
-        closed.push(Closed { holder, counted });
+        closed.push(ClosedHolder { holder, counted });
     }
     (base, closed)
 }
 
-/// What an earlier process on the VM held, and what counts as spent of it.
+/// An earlier process on the VM, whose entry is replaced by a count of spent tokens.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Closed {
-    /// Its entry in the account.
+pub struct ClosedHolder {
+    /// The entry of the process in the account.
     pub holder: Holder,
-    /// What it has spent at most.
+    /// Tokens that count as spent, the most that the process can have spent.
     pub counted: Tokens,
 }
 
-/// What an earlier process on this VM has spent at most. One that left no cap may have
+/// The most that an earlier process on this VM can have spent. One that stored no cap may have
 /// spent all that it held.
-fn spent_at_most(holder: &Holder, stake: &Stake) -> Tokens {
-    let most = stake.ended.get(&holder.process).copied();
-    let most = most.unwrap_or(Tokens::MAX).max(holder.charged);
-    most.min(holder.granted)
+fn max_spent(holder: &Holder, router: &RouterState) -> Tokens {
+    let max = router.ended.get(&holder.process).copied();
+    let max = max.unwrap_or(Tokens::MAX).max(holder.charged);
+    max.min(holder.granted)
 }
 
-/// Whether so little is left that the router leaves it to others.
+/// Whether so little remains that the router leaves it to others.
 #[must_use]
-pub fn is_withdrawn(account: &Account, prepaid: Tokens, stake: &Stake) -> bool {
-    if stake.rank.is_none() {
+pub fn is_withdrawn(account: &Account, prepaid: Tokens, router: &RouterState) -> bool {
+    if router.rank.is_none() {
         return false;
     }
-    let (others, _) = without(account, stake);
-    let left = left(&others, prepaid, stake);
-    is_left_out(sharers(left, stake), stake)
+    let (others, _) = without_vm(account, router);
+    let left = unspent(&others, prepaid, router);
+    is_excluded(sharers(left, router), router)
 }
 
-/// What is left when this router has spent what it says.
-fn left(others: &Account, prepaid: Tokens, stake: &Stake) -> Tokens {
-    rest(others, prepaid).saturating_sub(stake.charged)
+/// Tokens that remain after what others have recorded and what this router has spent.
+fn unspent(others: &Account, prepaid: Tokens, router: &RouterState) -> Tokens {
+    remaining(others, prepaid).saturating_sub(router.charged)
 }
 
-/// Whether the router isn't among the `sharers` that are fewer than there might be.
-fn is_left_out(sharers: usize, stake: &Stake) -> bool {
-    sharers < stake.sharers && stake.rank.is_some_and(|rank| rank >= sharers)
+/// Whether `sharers` is a reduced number and the router isn't among them.
+fn is_excluded(sharers: usize, router: &RouterState) -> bool {
+    sharers < router.sharers && router.rank.is_some_and(|rank| rank >= sharers)
 }
 
-/// Routers that share what is left.
-fn sharers(left: Tokens, stake: &Stake) -> usize {
-    let least = stake.largest * PART_REQUESTS;
-    if least == 0 || stake.rank.is_none() {
-        return stake.sharers;
+/// Number of routers that share what remains.
+fn sharers(left: Tokens, router: &RouterState) -> usize {
+    let min_share = router.largest * REQUESTS_PER_SHARE;
+    if min_share == 0 || router.rank.is_none() {
+        return router.sharers;
     }
-    let parts = (left as f64 * HELD) as Tokens / least;
-    usize::try_from(parts)
+    let shares = (left as f64 * HELD_FRACTION) as Tokens / min_share;
+    usize::try_from(shares)
         .unwrap_or(usize::MAX)
-        .clamp(1, stake.sharers.max(1))
+        .clamp(1, router.sharers.max(1))
 }
 
 /// Unspent tokens that the router should hold.
-fn target(others: &Account, prepaid: Tokens, stake: &Stake) -> Tokens {
-    let most = free(others, prepaid, stake.charged);
-    let left = left(others, prepaid, stake);
-    let count = (others.holders.len() + 1).max(stake.sharers) as f64;
+fn target(others: &Account, prepaid: Tokens, router: &RouterState) -> Tokens {
+    let max = ungranted(others, prepaid, router.charged);
+    let left = unspent(others, prepaid, router);
+    let count = (others.holders.len() + 1).max(router.sharers) as f64;
     let rates: u64 = others.holders.iter().map(|holder| holder.rate).sum();
-    let rate = (stake.rate + rates) as f64;
-    let sharers = sharers(left, stake);
+    let rate = (router.rate + rates) as f64;
+    let sharers = sharers(left, router);
     let left = left as f64;
-    let all = left * HELD;
+    let all = left * HELD_FRACTION;
     let even = all / count;
-    let wanted = if is_left_out(sharers, stake) || (stake.rate == 0 && !stake.is_holder) {
+    let wanted = if is_excluded(sharers, router) || (router.rate == 0 && !router.is_holder) {
         0.0
-    } else if let Some(rank) = stake.rank {
-        // Others ask all holders alike, so their parts are alike.
+    } else if let Some(rank) = router.rank {
+        // Routers that aren't holders ask all holders equally often, so holders get equal shares.
         if rank < sharers {
             all / sharers as f64
         } else {
-            stake.rate as f64 * STAND_IN_SECS
+            router.rate as f64 * NON_HOLDER_SECS
         }
     } else if rate == 0.0 {
         even
     } else {
-        let by_rate = all * stake.rate as f64 / rate;
-        by_rate * (1.0 - EVEN_PART) + even * EVEN_PART
+        let by_rate = all * router.rate as f64 / rate;
+        by_rate * (1.0 - EVEN_FRACTION) + even * EVEN_FRACTION
     };
-    let missing: Tokens = others.holders.iter().map(|holder| holder.need).sum();
-    let wanted = if missing > free(others, prepaid, stake.granted) {
-        // Others wait for what is held here: all that isn't used goes back.
+    let needed: Tokens = others.holders.iter().map(|holder| holder.need).sum();
+    let wanted = if needed > ungranted(others, prepaid, router.granted) {
+        // Requests of other routers wait for tokens that are held here: return all unused ones.
         0
     } else {
         wanted as Tokens
     };
-    let least = stake.reserved + stake.need;
-    wanted.max(least).min(most).max(stake.reserved)
+    let min = router.reserved + router.need;
+    wanted.max(min).min(max).max(router.reserved)
 }
 
-/// What nobody holds when this router holds nothing but what it has spent.
-fn free(others: &Account, prepaid: Tokens, charged: Tokens) -> Tokens {
+/// Tokens that are granted to nobody if this router holds `own` tokens, spent ones included.
+fn ungranted(others: &Account, prepaid: Tokens, own: Tokens) -> Tokens {
     let held: Tokens = others.holders.iter().map(|holder| holder.granted).sum();
-    prepaid.saturating_sub(others.closed + held + charged)
+    prepaid.saturating_sub(others.closed + held + own)
 }
 
-/// The router's unspent tokens after the change. Small differences aren't worth a call.
-fn resize(unspent: Tokens, target: Tokens, stake: &Stake) -> Tokens {
-    let is_short = (unspent as f64) < target as f64 * SHORT;
-    let is_excess = unspent as f64 > target as f64 * EXCESS;
-    let is_needed = stake.need > 0 && unspent < stake.reserved + stake.need;
+/// The router's unspent tokens after the change. Small differences don't justify an append.
+fn resize(unspent: Tokens, target: Tokens, router: &RouterState) -> Tokens {
+    let is_short = (unspent as f64) < target as f64 * CLAIM_BELOW;
+    let is_excess = unspent as f64 > target as f64 * RETURN_ABOVE;
+    let is_needed = router.need > 0 && unspent < router.reserved + router.need;
     if is_short || is_excess || is_needed {
         target
     } else {
--- a/crates/gateway/src/quota/cap.rs
+++ b/crates/gateway/src/quota/cap.rs
@@ -1,10 +1,10 @@
 //! Caps on what a router process has spent by some time. No I/O.
 //!
-//! Before a process spends, it has a [`Cap`] stored: a base, and what is added to it in each
-//! second. While the store answers, caps follow each other at short intervals and stay
-//! close to what was spent. In a cut the last one grows, up to all that the process holds.
-//! The next process on the VM works out from it what its predecessor spent at most, and the
-//! rest of what that held is free again: see [`elapsed`] for the time in between.
+//! Before a process spends, it stores a [`Cap`]: a base, and a number of tokens added in each
+//! second. While the store answers, caps are replaced at short intervals and stay close to what
+//! was spent. In a store outage the last one grows, up to all that the process holds. The next
+//! process on the VM computes from it the most that its predecessor can have spent, and the rest
+//! of the predecessor's quota is free again: see [`elapsed`] for the time in between.
 
 use std::time::Duration;
 
@@ -12,89 +12,90 @@
 
 use crate::clock::Reading;
 
-/// How far the time of day of one VM may jump between two readings of it: "by seconds", as the
-/// platform's pages say. An assumption; a larger jump on a VM that was cut off and then lost
-/// power could have tokens spent twice.
-const JUMP_ALONE: Duration = Duration::from_secs(3);
-/// How much earlier than this VM the middle one of the others may have started after a loss
-/// of power of all: VMs that are powered on together start within a few tenths of a second.
-const JUMP_FLEET: Duration = Duration::from_millis(400);
+/// How far the wall clock of one VM may jump between two readings. The platform's documentation
+/// says "by seconds", so this is an assumption; with a larger jump on a VM that loses power in a
+/// store outage, tokens could be spent twice.
+const MAX_CLOCK_JUMP: Duration = Duration::from_secs(3);
+/// How much earlier than this VM the median of the others may have started after a power loss of
+/// all VMs: VMs that are powered on together start within a few tenths of a second.
+const FLEET_START_SKEW: Duration = Duration::from_millis(400);
 /// Seconds of use that a process may spend at once under a fresh cap.
 const BASE_SECS: f64 = 0.3;
-/// The same for the time that it takes to store the next one, as a multiple of that.
-const BASE_LAGS: f64 = 2.0;
-/// Part of what a process holds that it may spend at once in any case. It serves callers in
-/// the first seconds of a cut, when caps hardly grow, and is what is lost at most of plenty:
-/// with 0.005, and a growth of 0.2, quiet days with two cuts of all routers had 0.04 to 0.05
-/// of worth less on three deployments, days with trouble the same.
-const BASE_PART: f64 = 0.03;
-/// Growth of a cap before a cut is certain, as a multiple of the rate of use, where [`room`] allows
-/// for it. It is lost with a process that is killed, so it is less than the use: at 1.0 quiet days
-/// gained 0.01 to 0.03, and days with trouble lost 0.02 on one of three deployments.
-const GROWTH: f64 = 0.6;
-/// Part of what was prepaid that a loss of all routers may strand: over 3 in 100 count as refused
-/// though paid for. Running requests are part of it, though about half of what they hold is spent by
-/// then; 2 and 2.5 in 100 measured alike.
-const STRANDED: f64 = 0.03;
-/// Time for which caps grow in a loss of power of all (seconds): a second without power, half of the
-/// time between caps, and `JUMP_FLEET`.
-const LOSS_SECS: f64 = 1.5;
-
-/// Age of a cap from which on a process takes the store to be out of reach: longer than it
-/// takes to be back after a loss of power, which is up to 1.3 seconds on the users'
-/// deployments, with the age of the last cap before it and `JUMP_FLEET`.
-const CUT: Duration = Duration::from_millis(2_200);
-/// Seconds of use that are added then: requests come in lumps.
-const CUT_STEP_SECS: f64 = 2.0;
-/// Part of what a process holds that is added then in any case.
-const CUT_STEP_PART: f64 = 0.05;
-/// Growth of a cap in a cut, as a multiple of the rate of use: use may rise in it.
-const CUT_GROWTH: f64 = 1.5;
-/// Part of what it holds by which a cap grows in each second of a cut in any case.
-const CUT_GROWTH_PART: f64 = 0.02;
-
-/// What a process has spent at most, from some time on.
+/// The time to store the next cap is added to `BASE_SECS`, multiplied by this.
+const BASE_LAG_FACTOR: f64 = 2.0;
+/// Fraction of its quota that a process may spend at once in any case. It serves callers in the
+/// first seconds of a store outage, when caps hardly grow. It is also the most that is lost of
+/// ample quota: with 0.005, and a `GROWTH_FACTOR` of 0.2, quiet days with two outages of all
+/// routers scored 0.04 to 0.05 lower on three deployments, and days with faults the same.
+const BASE_FRACTION: f64 = 0.03;
+/// Growth of a cap before an outage is certain, as a multiple of the rate of use, where
+/// [`max_growth`] allows it. The growth is lost with a process that is killed, so it is below the
+/// rate of use: at 1.0 quiet days scored 0.01 to 0.03 higher, and days with faults 0.02 lower on
+/// one of three deployments.
+const GROWTH_FACTOR: f64 = 0.6;
+/// Fraction of the prepaid tokens that a power loss of all routers may strand: above 3 in 100,
+/// requests count as refused although they are paid for. Running requests are included, though
+/// about half of what they hold is spent by then. 2 and 2.5 in 100 scored alike.
+const MAX_STRANDED: f64 = 0.03;
+/// Seconds for which caps grow in a power loss of all VMs: a second without power, half of the
+/// interval between caps, and `FLEET_START_SKEW`.
+const POWER_LOSS_SECS: f64 = 1.5;
+
+/// Age of a cap from which on a process takes the store to be unreachable. It is longer than a
+/// restart after a power loss, which takes up to 1.3 seconds on the users' deployments, plus the
+/// age of the last cap before it and `FLEET_START_SKEW`.
+const OUTAGE_AT: Duration = Duration::from_millis(2_200);
+/// Seconds of use that are added when the outage is certain: requests arrive in bursts.
+const OUTAGE_STEP_SECS: f64 = 2.0;
+/// Fraction of the process's quota that is added then in any case.
+const OUTAGE_STEP_FRACTION: f64 = 0.05;
+/// Growth of a cap in an outage, as a multiple of the rate of use, which may rise meanwhile.
+const OUTAGE_GROWTH_FACTOR: f64 = 1.5;
+/// Fraction of the process's quota by which a cap grows in any case in each second of an outage.
+const OUTAGE_GROWTH_FRACTION: f64 = 0.02;
+
+/// The most that a process can have spent, as a function of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cap {
-    /// Tokens at that time.
+    /// Tokens at the start of the cap.
     pub base: Tokens,
-    /// Tokens more in each second after it.
+    /// Tokens added in each second before `outage_at`.
     pub rate: Tokens,
-    /// When the store is taken to be out of reach.
-    pub cut: Duration,
-    /// Tokens more from then on.
-    pub step: Tokens,
-    /// Tokens more in each second from then on.
-    pub cut_rate: Tokens,
+    /// Age of the cap at which the store is taken to be unreachable.
+    pub outage_at: Duration,
+    /// Tokens added at `outage_at`.
+    pub outage_step: Tokens,
+    /// Tokens added in each second after `outage_at`.
+    pub outage_rate: Tokens,
 }
 
 impl Cap {
-    /// Tokens after `time`.
+    /// The most tokens spent when the cap is `time` old.
     #[must_use]
-    pub fn after(&self, time: Duration) -> Tokens {
-        let early = grown(self.rate, time.min(self.cut));
+    pub fn limit_after(&self, time: Duration) -> Tokens {
+        let early = grown(self.rate, time.min(self.outage_at));
         let mut tokens = self.base.saturating_add(early);
-        if time >= self.cut {
-            let late = grown(self.cut_rate, time - self.cut);
-            tokens = tokens.saturating_add(self.step).saturating_add(late);
+        if time >= self.outage_at {
+            let late = grown(self.outage_rate, time - self.outage_at);
+            tokens = tokens.saturating_add(self.outage_step).saturating_add(late);
         }
         tokens
     }
 
-    /// The time after which it allows for `tokens`; `None` where it never does.
+    /// Age at which the cap allows `tokens`; `None` where it never does.
     #[must_use]
-    pub fn time_for(&self, tokens: Tokens) -> Option<Duration> {
+    pub fn time_until(&self, tokens: Tokens) -> Option<Duration> {
         let early = time_to_grow(tokens.saturating_sub(self.base), self.rate);
-        if let Some(time) = early.filter(|time| *time < self.cut) {
+        if let Some(time) = early.filter(|time| *time < self.outage_at) {
             return Some(time);
         }
-        let at_cut = self.after(self.cut);
-        let late = time_to_grow(tokens.saturating_sub(at_cut), self.cut_rate)?;
-        self.cut.checked_add(late)
+        let at_outage = self.limit_after(self.outage_at);
+        let late = time_to_grow(tokens.saturating_sub(at_outage), self.outage_rate)?;
+        self.outage_at.checked_add(late)
     }
 }
 
-/// Time in which `rate` tokens a second make `tokens`, rounded up to a millisecond.
+/// Time in which `rate` tokens a second add up to `tokens`, rounded up to a millisecond.
 fn time_to_grow(tokens: Tokens, rate: Tokens) -> Option<Duration> {
     if tokens == 0 {
         return Some(Duration::ZERO);
@@ -104,62 +105,65 @@
     Some(Duration::from_millis(u64::try_from(millis).ok()?))
 }
 
-/// What `rate` tokens a second make in `time`.
+/// Tokens that `rate` tokens a second add up to in `time`.
 fn grown(rate: Tokens, time: Duration) -> Tokens {
     let millis = time.as_millis();
     let tokens = u128::from(rate).saturating_mul(millis) / 1_000;
     Tokens::try_from(tokens).unwrap_or(Tokens::MAX)
 }
 
-/// Tokens that should be free for requests under a new cap, where storing one takes `lag`:
-/// the next one is stored when half of them are used.
+/// Tokens that should be available to requests under a new cap, where storing one takes `lag`.
+/// The next one is stored when half of them are used.
 #[must_use]
 pub fn base(unspent: Tokens, rate: u64, lag: Duration) -> Tokens {
-    let secs = BASE_SECS + BASE_LAGS * lag.as_secs_f64();
-    (rate as f64 * secs).max(unspent as f64 * BASE_PART) as Tokens
+    let secs = BASE_SECS + BASE_LAG_FACTOR * lag.as_secs_f64();
+    (rate as f64 * secs).max(unspent as f64 * BASE_FRACTION) as Tokens
 }
 
-/// What the cap of a process may grow by until the next process on its VM reads it, so that the
-/// processes together strand no more than 3 in 100 of `prepaid`: its part, by its `share` of the
-/// use, less what is `bound` already in running requests and as the cap's base.
+/// Most tokens that a cap may grow by until the next process on the VM reads it. It keeps what all
+/// processes together strand in a power loss within 3 in 100 of `prepaid`: the process's `share` of
+/// that, by rate of use, less what is `committed` to running requests and the cap's base.
 ///
-/// Where that much is bound in any case, there is no limit: callers would be refused in each cut, and
-/// the bound is passed all the same. With none to grow by there, the quiet day of a deployment of
-/// seven routers, with two cuts of all, was worth 0.70 in place of 0.77.
+/// Where `committed` alone exceeds the share there is no limit, since the bound is missed in any
+/// case and callers would be refused in each outage. Without growth there, the quiet day of a
+/// deployment of seven routers, with two outages of all, scored 0.70 instead of 0.77.
 ///
-/// Of a fleet of 75 that loses power at once two thirds into a day, workspaces had 3.4 to 5.5 in 100
-/// left at the end, which nobody could spend, with caps that grow by 0.6 of the use in any case.
+/// With caps that grow by 0.6 of the use in any case, in a fleet of 75 that loses power at once two
+/// thirds into a day, 3.4 to 5.5 in 100 of the workspaces' budgets were left at the end and could
+/// not be spent.
 #[must_use]
-pub fn room(prepaid: Tokens, share: f64, bound: Tokens) -> Tokens {
-    let part = prepaid as f64 * STRANDED * share;
-    (part as Tokens).checked_sub(bound).unwrap_or(Tokens::MAX)
+pub fn max_growth(prepaid: Tokens, share: f64, committed: Tokens) -> Tokens {
+    let allowed = prepaid as f64 * MAX_STRANDED * share;
+    (allowed as Tokens)
+        .checked_sub(committed)
+        .unwrap_or(Tokens::MAX)
 }
 
-/// How a new cap grows, for a process with `unspent` tokens of which `rate` are used in a
-/// second; by up to `room` until it is read.
+/// A cap with base 0 for a process with `unspent` tokens that uses `rate` tokens a second. Before
+/// an outage is certain it grows by up to `max_growth`, until the next process reads it.
 #[must_use]
-pub fn draw(unspent: Tokens, rate: u64, room: Tokens) -> Cap {
+pub fn plan_growth(unspent: Tokens, rate: u64, max_growth: Tokens) -> Cap {
     let (unspent, rate) = (unspent as f64, rate as f64);
-    let growth = (rate * GROWTH).min(room as f64 / LOSS_SECS);
+    let growth = (rate * GROWTH_FACTOR).min(max_growth as f64 / POWER_LOSS_SECS);
     Cap {
         base: 0,
         rate: growth as Tokens,
-        cut: CUT,
-        step: (rate * CUT_STEP_SECS).max(unspent * CUT_STEP_PART) as Tokens,
-        cut_rate: (rate * CUT_GROWTH).max(unspent * CUT_GROWTH_PART) as Tokens,
+        outage_at: OUTAGE_AT,
+        outage_step: (rate * OUTAGE_STEP_SECS).max(unspent * OUTAGE_STEP_FRACTION) as Tokens,
+        outage_rate: (rate * OUTAGE_GROWTH_FACTOR).max(unspent * OUTAGE_GROWTH_FRACTION) as Tokens,
     }
 }
 
-/// The longest time that may have passed on one VM from `stamp` to `now`, the start of the
-/// next process there; `None` when nothing is certain. `starts` has the times of day at
-/// which the routers on other VMs started last.
+/// The longest time that can have passed on one VM from `stamp` to `now`, the start of the next
+/// process there; `None` when it can't be bounded. `starts` has the wall-clock times at which the
+/// routers on other VMs last started.
 ///
-/// Within one start of the kernel the steady clock says it exactly; [`is_same_boot`] tells.
-/// After a loss of power there is only the time of day, which may have jumped on this VM:
-/// by `JUMP_ALONE` at most. Where most of the other VMs started after `stamp` too, it
-/// was the whole fleet that lost power, and the middle one of their clocks is trusted. What
-/// others have `seen` is an upper bound by their steady clocks: the smaller one holds. It keeps
-/// the three seconds of a jump out of what one VM's loss of power costs.
+/// Within one boot of the kernel the monotonic clock gives the exact time; see [`is_same_boot`].
+/// After a power loss only the wall clock is left, which may have jumped on this VM by up to
+/// `MAX_CLOCK_JUMP`. Where most of the other VMs started after `stamp` too, the whole fleet lost
+/// power, and the median of their start times is used, since most clocks didn't jump. `seen` is an
+/// upper bound by the monotonic clocks of other VMs; the smaller bound is returned. With it, the
+/// loss of power of a single VM doesn't cost the use of the three seconds of `MAX_CLOCK_JUMP`.
 #[must_use]
 pub fn elapsed(
     stamp: &Reading,
@@ -173,23 +177,22 @@
             .checked_sub(stamp.steady)
             .map(Duration::from_millis);
     }
-    let (wall, jump) = match middle_start(stamp, starts) {
-        Some(middle) => (now.wall.max(middle), JUMP_FLEET),
-        None => (now.wall, JUMP_ALONE),
+    let (wall, jump) = match median_start(stamp, starts) {
+        Some(median) => (now.wall.max(median), FLEET_START_SKEW),
+        None => (now.wall, MAX_CLOCK_JUMP),
     };
     let time = wall.saturating_add(jump.as_millis() as u64);
-    let told = time.checked_sub(stamp.wall).map(Duration::from_millis);
-    match (told, seen) {
-        (Some(told), Some(seen)) => Some(told.min(seen)),
-        (told, seen) => told.or(seen),
+    let by_wall = time.checked_sub(stamp.wall).map(Duration::from_millis);
+    match (by_wall, seen) {
+        (Some(by_wall), Some(seen)) => Some(by_wall.min(seen)),
+        (by_wall, seen) => by_wall.or(seen),
     }
 }
 
-/// Whether the VM's steady clock went on from `stamp` to `now`.
+/// Whether `stamp` and `now` are readings of one run of the VM's monotonic clock.
 ///
-/// The name of the kernel's start alone isn't trusted: where it comes from the machine
-/// below, a VM may be back under it with another steady clock. The time of day, with the
-/// most that it jumps, has to agree.
+/// The boot ID alone isn't enough: where it comes from the host, a restarted VM may have the same
+/// ID with another monotonic clock. The wall clock has to agree, within `MAX_CLOCK_JUMP`.
 #[must_use]
 pub fn is_same_boot(stamp: &Reading, now: &Reading) -> bool {
     if stamp.boot.is_empty() || stamp.boot != now.boot {
@@ -198,16 +201,16 @@
     let Some(steady) = now.steady.checked_sub(stamp.steady) else {
         return false;
     };
-    let jump = JUMP_ALONE.as_millis() as u64;
+    let jump = MAX_CLOCK_JUMP.as_millis() as u64;
     let latest = now.wall.saturating_add(jump);
     latest
         .checked_sub(stamp.wall)
         .is_some_and(|wall| steady <= wall)
 }
 
-/// The middle one of the starts of other VMs, if more than half of them are after `stamp`.
+/// The median of `starts`, the start times of other VMs, if more than half are after `stamp`.
 #[must_use]
-pub fn middle_start(stamp: &Reading, starts: &[u64]) -> Option<u64> {
+pub fn median_start(stamp: &Reading, starts: &[u64]) -> Option<u64> {
     let later = starts.iter().filter(|start| **start > stamp.wall).count();
     if later * 2 <= starts.len() {
         return None;
--- a/crates/gateway/src/quota/claim.rs
+++ b/crates/gateway/src/quota/claim.rs
@@ -14,34 +14,34 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-use super::account::{self, Closed, Stake};
-use super::book::LocalQuota;
-use super::books::QuotaTable;
-use super::caps::{Caps, Ended};
+use super::account::{self, ClosedHolder, RouterState};
+use super::cap_writer::{CapWriter, EndedProcesses};
+use super::last_seen::LastSeen;
+use super::local::LocalQuota;
 use super::rate::Rates;
-use super::witness::LastSeen;
+use super::table::QuotaTable;
 use crate::store::{ANSWER_TIME, Feed, Store, StoreError};
 
-/// Time between looks at the accounts of a partition for each router, so that appends of
-/// many routers seldom meet: one takes about 5 ms.
-const PERIOD_EACH: Duration = Duration::from_millis(40);
-/// Shortest time between looks that nobody waits for.
-const PERIOD_MIN: Duration = Duration::from_millis(500);
-/// Longest time between looks.
-const PERIOD_MAX: Duration = Duration::from_secs(4);
-/// Shortest time between two rounds: waiting requests wake the task more often.
+/// Interval between rounds in a partition, multiplied by the number of routers, so that their
+/// appends seldom conflict: one append takes about 5 ms.
+const INTERVAL_PER_ROUTER: Duration = Duration::from_millis(40);
+/// Shortest interval between rounds while no request waits for quota.
+const INTERVAL_MIN: Duration = Duration::from_millis(500);
+/// Longest interval between rounds.
+const INTERVAL_MAX: Duration = Duration::from_secs(4);
+/// Shortest pause between two rounds: waiting requests wake the task more often than that.
 const PAUSE_MIN: Duration = Duration::from_millis(50);
-/// The same for each router, so that all together make no more than some two hundred rounds a
-/// second in a partition.
-const PAUSE_EACH: Duration = Duration::from_millis(5);
-/// First pause after the store failed; doubles up to [`BACKOFF_MAX`].
+/// Pause between two rounds, multiplied by the number of routers, so that all routers together
+/// make at most about two hundred rounds a second in a partition.
+const PAUSE_PER_ROUTER: Duration = Duration::from_millis(5);
+/// First backoff after the store failed; doubles up to [`BACKOFF_MAX`].
 const BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause after the store failed.
+/// Longest backoff after the store failed.
 const BACKOFF_MAX: Duration = Duration::from_millis(400);
-/// Longest random pause after another router was faster; doubles with each time.
-const CONTEND: Duration = Duration::from_millis(8);
-/// Times that a round starts anew because another router was faster.
-const TRIES: u32 = 10;
+/// Longest random backoff after the first conflict with another router; doubles with each one.
+const CONFLICT_BACKOFF: Duration = Duration::from_millis(8);
+/// Attempts to write in one round, when other routers conflict with each.
+const MAX_ATTEMPTS: u32 = 10;
 
 /// The running tasks.
 #[derive(Debug)]
@@ -51,90 +51,90 @@
 }
 
 impl Claims {
-    /// Starts a task for each partition; `process` tells this process from others on
-    /// its VM, and `witness` knows of those.
+    /// Starts a task for each partition. `process` distinguishes this process from others on its
+    /// VM, and `last_seen` says when those were last alive.
     #[must_use]
     pub fn spawn(
-        books: &Arc<QuotaTable>,
+        quotas: &Arc<QuotaTable>,
         store: &Arc<dyn Store>,
-        witness: Arc<dyn LastSeen>,
+        last_seen: Arc<dyn LastSeen>,
         vm: &VmName,
         process: u64,
     ) -> Self {
         let stop = CancellationToken::new();
         let mut tasks = JoinSet::new();
-        let caps = Caps::new(books, store, witness, vm, process);
+        let caps = CapWriter::new(quotas, store, last_seen, vm, process);
         let ended = caps.ended();
-        tasks.spawn(caps.run(books.uncapped(), stop.clone()));
-        for part in 0..books.parts() {
-            let task = Part {
-                feed: Feed::Rights(part),
-                books: Arc::clone(books),
-                part,
+        tasks.spawn(caps.run(quotas.cap_waker(), stop.clone()));
+        for partition in 0..quotas.partitions() {
+            let task = PartitionTask {
+                feed: Feed::Rights(partition),
+                quotas: Arc::clone(quotas),
+                partition,
                 store: Arc::clone(store),
                 vm: vm.clone(),
                 process,
-                seen: None,
+                snapshot: None,
                 is_behind: false,
                 unresolved: None,
                 rates: Rates::default(),
                 is_idle: false,
                 ended: Arc::default(),
             };
-            let wanted = books.wanted(part);
-            tasks.spawn(task.run(ended.clone(), wanted, stop.clone()));
+            let waker = quotas.claim_waker(partition);
+            tasks.spawn(task.run(ended.clone(), waker, stop.clone()));
         }
         Self { tasks, stop }
     }
 
-    /// Ends the tasks at once and gives nothing back, as the end of the process would.
+    /// Ends the tasks at once without returning quota, like a crash of the process.
     pub fn abort(&mut self) {
         self.tasks.abort_all();
     }
 
-    /// Gives all rights back and ends the tasks, within `grace`.
+    /// Returns all quota to the accounts and ends the tasks, within `grace`.
     pub async fn stop(mut self, grace: Duration) {
         self.stop.cancel();
         let all = async { while self.tasks.join_next().await.is_some() {} };
         if timeout(grace, all).await.is_err() {
-            event!(warn, "rights.kept", reason = "store gave no answer in time");
+            event!(warn, "quota.not_returned", reason = "store timed out");
         }
         self.tasks.shutdown().await;
     }
 }
 
-/// A partition as last read.
+/// The accounts of a partition as last read.
 #[derive(Debug, Default)]
-struct Seen {
+struct Snapshot {
     end: u64,
     accounts: HashMap<WorkspaceName, Account>,
 }
 
-struct Part {
+struct PartitionTask {
     feed: Feed,
-    books: Arc<QuotaTable>,
-    part: u32,
+    quotas: Arc<QuotaTable>,
+    partition: u32,
     store: Arc<dyn Store>,
     vm: VmName,
     process: u64,
-    seen: Option<Seen>,
-    /// Whether it may be much that others wrote since.
+    snapshot: Option<Snapshot>,
+    /// Whether the snapshot may be far behind the feed.
     is_behind: bool,
-    /// Condition of an append that had no answer: while the feed ends there, it may still
-    /// be done, and rights that it gives back must not be used.
+    /// Expected offset of an append that got no answer. While the feed ends there, the append may
+    /// still succeed, and quota that it returns must not be used.
     unresolved: Option<u64>,
     rates: Rates,
-    /// Whether this router had nothing to do with the accounts at the last look.
+    /// Whether this router needed none of the accounts in the last round.
     is_idle: bool,
-    /// What earlier processes on this VM have spent at most.
-    ended: Arc<Ended>,
+    /// The most that earlier processes on this VM can have spent.
+    ended: Arc<EndedProcesses>,
 }
 
-impl Part {
+impl PartitionTask {
     async fn run(
         mut self,
-        mut ended: watch::Receiver<Option<Arc<Ended>>>,
-        wanted: Arc<Notify>,
+        mut ended: watch::Receiver<Option<Arc<EndedProcesses>>>,
+        waker: Arc<Notify>,
         stop: CancellationToken,
     ) {
         tokio::select! {
@@ -147,31 +147,31 @@
             }
         }
         let mut backoff = BACKOFF;
-        let mut away: Option<Instant> = None;
+        let mut lost_at: Option<Instant> = None;
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
-                () = wanted.notified() => {}
-                () = sleep(self.period()) => {}
+                () = waker.notified() => {}
+                () = sleep(self.interval()) => {}
             }
             let round = self.round().await;
-            for book in self.books.in_part(self.part) {
-                let is_away = matches!(&round, Err(error) if *error != contended());
-                book.set_away(is_away);
+            for quota in self.quotas.in_partition(self.partition) {
+                let is_unavailable = matches!(&round, Err(error) if *error != contended());
+                quota.set_store_unavailable(is_unavailable);
             }
             let pause = match round {
                 Ok(()) => {
-                    if let Some(since) = away.take() {
+                    if let Some(since) = lost_at.take() {
                         let secs = since.elapsed().as_secs_f32();
                         event!(info, "store.regained", feed = self.feed, away_secs = secs);
                     }
                     backoff = BACKOFF;
-                    (PAUSE_EACH * self.routers()).max(PAUSE_MIN)
+                    (PAUSE_PER_ROUTER * self.routers()).max(PAUSE_MIN)
                 }
                 Err(error) => {
-                    if away.is_none() {
+                    if lost_at.is_none() {
                         event!(warn, "store.lost", feed = self.feed, error = error);
-                        away = Some(Instant::now());
+                        lost_at = Some(Instant::now());
                     }
                     let pause = backoff;
                     backoff = (backoff * 2).min(BACKOFF_MAX);
@@ -184,52 +184,51 @@
             }
         }
         if let Err(error) = self.close().await {
-            event!(warn, "rights.kept", feed = self.feed, error = error);
+            event!(warn, "quota.not_returned", feed = self.feed, error = error);
         }
     }
 
-    /// Time until the next look, drawn so that routers don't meet again and again. A router
-    /// that neither holds nor wants anything is woken when that changes.
-    fn period(&self) -> Duration {
-        let period = if self.is_idle {
-            PERIOD_MAX
+    /// Time until the next round, with jitter so that routers don't conflict repeatedly. A router
+    /// that neither holds nor wants quota is woken when that changes.
+    fn interval(&self) -> Duration {
+        let interval = if self.is_idle {
+            INTERVAL_MAX
         } else {
-            (PERIOD_EACH * self.routers()).clamp(PERIOD_MIN, PERIOD_MAX)
+            (INTERVAL_PER_ROUTER * self.routers()).clamp(INTERVAL_MIN, INTERVAL_MAX)
         };
-        period.mul_f64(0.8 + 0.4 * rand::random::<f64>())
+        interval.mul_f64(0.8 + 0.4 * rand::random::<f64>())
     }
 
-    /// Routers that change this partition, as far as it shows.
+    /// Number of routers that change this partition, as far as the snapshot shows.
     fn routers(&self) -> u32 {
-        let accounts = self.seen.iter().flat_map(|seen| seen.accounts.values());
+        let accounts = self.snapshot.iter().flat_map(|s| s.accounts.values());
         let routers = accounts.map(|account| account.holders.len()).max();
         routers.unwrap_or(0) as u32
     }
 
     /// Brings the accounts of this partition up to date.
     async fn round(&mut self) -> Result<(), StoreError> {
-        let books = self.books.in_part(self.part);
-        for book in &books {
-            self.rates.follow(book);
+        let quotas = self.quotas.in_partition(self.partition);
+        for quota in &quotas {
+            self.rates.update(quota);
         }
-        let placement = self.books.placement();
-        let is_active =
-            |book: &Arc<LocalQuota>| book.is_active(placement.is_holder(&book.workspace));
-        self.is_idle = !books.iter().any(is_active);
+        let placement = self.quotas.placement();
+        let is_active = |q: &Arc<LocalQuota>| q.is_active(placement.is_holder(&q.workspace));
+        self.is_idle = !quotas.iter().any(is_active);
         if self.is_idle {
             return Ok(());
         }
-        self.read_news(&books).await?;
-        for attempt in 0..TRIES {
-            match self.write(&books).await {
-                // What nobody waits for is left to the next round.
-                Err(StoreError::Conflict { .. }) if books.iter().all(|book| book.need() == 0) => {
-                    return self.read_news(&books).await;
+        self.read_updates(&quotas).await?;
+        for attempt in 0..MAX_ATTEMPTS {
+            match self.write(&quotas).await {
+                // Changes that no request waits for are left to the next round.
+                Err(StoreError::Conflict { .. }) if quotas.iter().all(|q| q.need() == 0) => {
+                    return self.read_updates(&quotas).await;
                 }
                 Err(StoreError::Conflict { .. }) => {
-                    let most = CONTEND * 2_u32.pow(attempt.min(4));
-                    sleep(most.mul_f64(rand::random())).await;
-                    self.read_news(&books).await?;
+                    let max = CONFLICT_BACKOFF * 2_u32.pow(attempt.min(4));
+                    sleep(max.mul_f64(rand::random())).await;
+                    self.read_updates(&quotas).await?;
                 }
                 result => return result,
             }
@@ -237,36 +236,37 @@
         Err(contended())
     }
 
-    /// Writes what should change. Rights that are given back are out of use before.
-    async fn write(&mut self, books: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
-        let Some(seen) = &self.seen else {
+    /// Writes the accounts that should change. Quota that a change returns is taken out of use
+    /// before the append.
+    async fn write(&mut self, quotas: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
+        let Some(snapshot) = &self.snapshot else {
             return Ok(());
         };
         let mut records = Vec::new();
         let mut changes = Vec::new();
-        for book in books {
-            let account = seen
+        for quota in quotas {
+            let account = snapshot
                 .accounts
-                .get(&book.workspace)
+                .get(&quota.workspace)
                 .cloned()
                 .unwrap_or_default();
-            let stake = self.stake(book);
-            let withdrawn = account::is_withdrawn(&account, book.prepaid(), &stake);
-            book.set_withdrawn(withdrawn);
-            let Some(mut change) = account::adjust(&account, book.prepaid(), &stake) else {
-                self.tell(book, &account);
+            let router = self.router_state(quota);
+            let withdrawn = account::is_withdrawn(&account, quota.prepaid(), &router);
+            quota.set_withdrawn(withdrawn);
+            let Some(mut change) = account::adjust(&account, quota.prepaid(), &router) else {
+                self.update_quota(quota, &account);
                 continue;
             };
-            if change.granted < stake.granted {
-                give_back(book, &stake, &mut change, self.process);
+            if change.granted < router.granted {
+                give_back(quota, &router, &mut change, self.process);
             }
-            records.push(record(&book.workspace, &change.account));
-            changes.push((Arc::clone(book), change));
+            records.push(record(&quota.workspace, &change.account));
+            changes.push((Arc::clone(quota), change));
         }
         if records.is_empty() {
             return Ok(());
         }
-        let at = seen.end;
+        let at = snapshot.end;
         let appended = self.store.append_at(self.feed, at, &records).await;
         self.unresolved = match appended {
             Err(StoreError::Unknown(_) | StoreError::Protocol(_)) => Some(at),
@@ -274,41 +274,41 @@
             Ok(_) => None,
         };
         let end = appended?;
-        if let Some(seen) = &mut self.seen {
-            seen.end = end;
-            for (book, change) in &changes {
+        if let Some(snapshot) = &mut self.snapshot {
+            snapshot.end = end;
+            for (quota, change) in &changes {
                 let account = change.account.clone();
-                seen.accounts.insert(book.workspace.clone(), account);
+                snapshot.accounts.insert(quota.workspace.clone(), account);
             }
         }
-        for (book, change) in changes {
-            log_closed(&book, &change.closed);
-            self.accept(&book, change.granted);
-            self.tell(&book, &change.account);
+        for (quota, change) in changes {
+            log_closed(&quota, &change.closed);
+            self.accept(&quota, change.granted);
+            self.update_quota(&quota, &change.account);
         }
         Ok(())
     }
 
-    /// The router may spend `granted` from now on.
-    fn accept(&self, book: &LocalQuota, granted: Tokens) {
-        let held = book.accept(granted);
+    /// Lets the router spend `granted` from now on.
+    fn accept(&self, quota: &LocalQuota, granted: Tokens) {
+        let held = quota.accept(granted);
         if granted != held {
-            let counters = book.grant.counters();
+            let counters = quota.grant.counters();
             event!(
                 info,
-                "rights.changed",
-                workspace = book.workspace,
+                "quota.changed",
+                workspace = quota.workspace,
                 granted = granted,
                 before = held,
                 charged = counters.charged,
                 reserved = counters.reserved,
-                prepaid = book.prepaid(),
+                prepaid = quota.prepaid(),
             );
         }
     }
 
-    /// Tells the book what the account says of the whole fleet.
-    fn tell(&self, book: &LocalQuota, account: &Account) {
+    /// Updates what `quota` knows of other routers from the account.
+    fn update_quota(&self, quota: &LocalQuota, account: &Account) {
         let mut holders = Vec::new();
         for holder in &account.holders {
             let unspent = holder.granted.saturating_sub(holder.charged);
@@ -320,53 +320,55 @@
         let holders = holders.into_iter().map(|(_, vm)| vm);
         let spent = account::spent_by_others(account, self.process);
         let rate = account::rate_of_others(account, self.process);
-        book.on_reading(spent, rate, holders.collect());
+        quota.on_account_read(spent, rate, holders.collect());
     }
 
-    async fn read_all(&mut self, books: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
+    async fn read_all(&mut self, quotas: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
         let page = self.store.newest(self.feed, ANSWER_TIME.into()).await?;
-        let known = self.seen.take().unwrap_or_default();
+        let known = self.snapshot.take().unwrap_or_default();
         if page.end < known.end {
-            // An older state than the one known: an append on top of it would undo others'.
-            self.seen = Some(known);
+            // The page is older than the snapshot: an append based on it would undo changes of
+            // other routers.
+            self.snapshot = Some(known);
             return Ok(());
         }
         if self.unresolved.is_some_and(|at| page.end > at) {
             self.unresolved = None;
         }
-        self.seen = Some(Seen {
+        self.snapshot = Some(Snapshot {
             end: page.end,
             accounts: known.accounts,
         });
         self.is_behind = false;
-        self.take(page.records, books);
+        self.apply_records(page.records, quotas);
         Ok(())
     }
 
-    /// Reads what others wrote since; after an outage only how accounts stand now, since the
-    /// history of a large fleet is a megabyte a partition and second. Once the feed has moved on, an append of ours that
-    /// had no answer is in it or never will be.
-    async fn read_news(&mut self, books: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
-        let Some(seen) = self.seen.as_ref().filter(|_| !self.is_behind) else {
-            return self.read_all(books).await;
+    /// Reads the records since the snapshot. After an outage it reads only the newest record of
+    /// each account, since the history of a large fleet is a megabyte a second in each partition.
+    /// Once the feed has grown, an append of this router that got no answer is either in it or
+    /// will never be.
+    async fn read_updates(&mut self, quotas: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
+        let Some(snapshot) = self.snapshot.as_ref().filter(|_| !self.is_behind) else {
+            return self.read_all(quotas).await;
         };
-        let from = seen.end;
+        let from = snapshot.end;
         let read = self
             .store
             .read(self.feed, from, Duration::ZERO, ANSWER_TIME.into());
         match read.await {
             Ok(page) => {
                 let end = page.end.max(from);
-                if let Some(seen) = &mut self.seen {
-                    seen.end = end;
+                if let Some(snapshot) = &mut self.snapshot {
+                    snapshot.end = end;
                 }
                 if self.unresolved.is_some_and(|at| end > at) {
                     self.unresolved = None;
                 }
-                self.take(page.records, books);
+                self.apply_records(page.records, quotas);
                 Ok(())
             }
-            Err(StoreError::Trimmed { .. }) => self.read_all(books).await,
+            Err(StoreError::Trimmed { .. }) => self.read_all(quotas).await,
             Err(error) => {
                 self.is_behind = true;
                 Err(error)
@@ -374,8 +376,9 @@
         }
     }
 
-    fn take(&mut self, records: Vec<crate::store::Record>, books: &[Arc<LocalQuota>]) {
-        let Some(seen) = &mut self.seen else {
+    /// Applies records to the snapshot, and the snapshot to `quotas`.
+    fn apply_records(&mut self, records: Vec<crate::store::Record>, quotas: &[Arc<LocalQuota>]) {
+        let Some(snapshot) = &mut self.snapshot else {
             return;
         };
         for record in records {
@@ -385,98 +388,98 @@
             match account::decode(value) {
                 Ok(account) => {
                     let workspace = WorkspaceName::from(record.key);
-                    seen.accounts.insert(workspace, account);
+                    snapshot.accounts.insert(workspace, account);
                 }
                 Err(error) => {
-                    event!(error, "rights.unreadable", key = record.key, error = error);
+                    event!(error, "quota.unreadable", key = record.key, error = error);
                 }
             }
         }
-        for book in books {
+        for quota in quotas {
             let Some(account) = self
-                .seen
+                .snapshot
                 .as_ref()
-                .and_then(|s| s.accounts.get(&book.workspace))
+                .and_then(|s| s.accounts.get(&quota.workspace))
             else {
                 continue;
             };
             let granted = account::granted(account, self.process);
             if let (Some(granted), None) = (granted, self.unresolved) {
-                self.accept(book, granted);
+                self.accept(quota, granted);
             }
-            self.tell(book, account);
+            self.update_quota(quota, account);
         }
     }
 
-    /// Gives back all rights that no request holds, and says what was spent.
+    /// Returns all tokens that no request holds, and records what was spent.
     async fn close(&mut self) -> Result<(), StoreError> {
-        let books = self.books.in_part(self.part);
-        for _attempt in 0..TRIES {
-            let Some(seen) = &self.seen else {
+        let quotas = self.quotas.in_partition(self.partition);
+        for _attempt in 0..MAX_ATTEMPTS {
+            let Some(known) = &self.snapshot else {
                 return Ok(());
             };
             let mut records = Vec::new();
-            for book in &books {
-                book.close();
-                let Some(account) = seen.accounts.get(&book.workspace) else {
+            for quota in &quotas {
+                quota.close();
+                let Some(account) = known.accounts.get(&quota.workspace) else {
                     continue;
                 };
                 if account::granted(account, self.process).is_none() {
                     continue;
                 }
-                let mut stake = self.stake(book);
-                // What a request still holds is counted as spent.
-                stake.charged = (stake.charged + stake.reserved).min(stake.granted);
-                records.push(record(&book.workspace, &account::close(account, &stake)));
+                let mut router = self.router_state(quota);
+                // Tokens that a request still holds count as spent.
+                router.charged = (router.charged + router.reserved).min(router.granted);
+                records.push(record(&quota.workspace, &account::close(account, &router)));
             }
             if records.is_empty() {
                 return Ok(());
             }
-            match self.store.append_at(self.feed, seen.end, &records).await {
-                Err(StoreError::Conflict { .. }) => self.read_news(&[]).await?,
+            match self.store.append_at(self.feed, known.end, &records).await {
+                Err(StoreError::Conflict { .. }) => self.read_updates(&[]).await?,
                 result => return result.map(drop),
             }
         }
         Err(contended())
     }
 
-    fn stake(&self, book: &LocalQuota) -> Stake {
-        let standing = book.balance();
-        let placement = self.books.placement();
-        Stake {
+    fn router_state(&self, quota: &LocalQuota) -> RouterState {
+        let balance = quota.balance();
+        let placement = self.quotas.placement();
+        RouterState {
             vm: self.vm.to_string(),
             process: self.process,
-            granted: standing.granted,
-            charged: standing.charged,
-            reserved: standing
+            granted: balance.granted,
+            charged: balance.charged,
+            reserved: balance
                 .reserved
-                .min(standing.granted.saturating_sub(standing.charged)),
-            rate: book.rate(),
-            need: book.need(),
-            is_holder: placement.is_holder(&book.workspace),
+                .min(balance.granted.saturating_sub(balance.charged)),
+            rate: quota.rate(),
+            need: quota.need(),
+            is_holder: placement.is_holder(&quota.workspace),
             sharers: placement.sharers(),
-            rank: placement.rank(&book.workspace),
-            largest: book.largest(),
-            ended: self.ended.of(&book.workspace),
+            rank: placement.rank(&quota.workspace),
+            largest: quota.largest(),
+            ended: self.ended.of(&quota.workspace),
         }
     }
 }
 
-/// Takes rights out of use before they are given back. Requests may have taken some in
-/// the meantime; the change is made to fit.
-fn give_back(book: &LocalQuota, stake: &Stake, change: &mut account::Change, process: u64) {
-    let excess = stake.granted - change.granted;
-    let taken = book.give_back(excess);
-    change.set_granted(process, stake.granted - taken);
+/// Takes tokens out of use before the account returns them. Requests may have reserved some in
+/// the meantime, so the change is adjusted to what was taken.
+fn give_back(quota: &LocalQuota, router: &RouterState, change: &mut account::Change, process: u64) {
+    let excess = router.granted - change.granted;
+    let taken = quota.give_back(excess);
+    change.set_granted(process, router.granted - taken);
 }
 
-fn log_closed(book: &LocalQuota, closed: &[Closed]) {
-    for Closed { holder, counted } in closed {
+fn log_closed(quota: &LocalQuota, closed: &[ClosedHolder]) {
+    for ClosedHolder { holder, counted } in closed {
         event!(
             warn,
-            "rights.closed",
-            workspace = book.workspace,
-            reason = "an earlier process on this VM held them",
+            "quota.closed",
+            workspace = quota.workspace,
+            reason = "held by an earlier process on this VM",
             granted = holder.granted,
             charged = holder.charged,
             counted = counted,
@@ -484,9 +487,9 @@
     }
 }
 
-/// The outcome of a round in which other routers were faster each time.
+/// The result of a round in which other routers conflicted with each attempt.
 fn contended() -> StoreError {
-    StoreError::Refused("other routers were faster".to_owned())
+    StoreError::Refused("appends of other routers conflicted with each attempt".to_owned())
 }
 
 fn record(workspace: &WorkspaceName, account: &Account) -> (String, Bytes) {
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -1,8 +1,8 @@
 //! Which routers hold the account of a workspace. No I/O.
 //!
-//! In a small fleet each router holds a part of each account and serves most requests from it
-//! without a message. In a large one such parts would be smaller than a request: there a few
-//! routers hold an account, and the others reserve with them for each request.
+//! In a small fleet each router holds a share of each account and serves most requests from it
+//! without a message. In a large one such shares would be smaller than a request: there a few
+//! routers hold an account, and the others reserve tokens with them for each request.
 
 use std::collections::HashSet;
 
@@ -10,29 +10,29 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Largest fleet whose routers all hold parts of all accounts. With sixteen parts a part is
-/// still worth seconds of a workspace's use; claims of more routers take the store seconds
-/// at a start.
-const SMALL_FLEET: usize = 16;
-/// Routers that an account of a small fleet is shared between at least, until they show: the
-/// first ones must not take all.
-const SMALL_SHARERS: usize = 8;
-/// Routers that hold an account in a large fleet. Each loss of one, or of a failure domain,
-/// leaves two that serve on; with more of them the last tokens of a budget lie in more places.
+/// Largest fleet whose routers all hold shares of all accounts. With sixteen shares, a share still
+/// covers seconds of a workspace's use; claims of more routers take the store seconds when a fleet
+/// starts.
+const MAX_SMALL_FLEET: usize = 16;
+/// Fewest routers that an account of a small fleet is shared between before all members are known,
+/// so that the first ones don't take everything.
+const MIN_SHARERS: usize = 8;
+/// Routers that hold an account in a large fleet. A loss of one, or of its failure domain, leaves
+/// two; with more of them, the last tokens of a budget are spread over more places.
 const HOLDERS: usize = 3;
-/// Routers of a large fleet that hold accounts at all: each other router keeps a connection to
-/// each of them, so the connections of a fleet grow with its size and not with its square.
-const CANDIDATES: usize = 24;
-/// Holders should have at least this part of the processor time of the strongest VM: they
-/// answer for the callers of all others.
-const STRONG_PART: u32 = 2;
-/// Candidates that a large fleet needs at least, however strong they are.
-const CANDIDATES_LEAST: usize = 6;
-
-/// A router as its entry among the members tells.
+/// Most routers of a large fleet that hold accounts at all. Each other router keeps a connection
+/// to each of them, so the number of connections grows with the fleet's size and not its square.
+const MAX_CANDIDATES: usize = 24;
+/// A candidate should have at least the processor time of the strongest VM divided by this, since
+/// holders serve the callers of all other routers.
+const STRONG_DIVISOR: u32 = 2;
+/// Fewest candidates of a large fleet, whatever their processor time.
+const MIN_CANDIDATES: usize = 6;
+
+/// A router, from its entry in the members' feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its VM.
+    /// The router's VM.
     pub vm: VmName,
     /// Failure domain of the VM.
     pub domain: DomainName,
@@ -47,44 +47,46 @@
     fleet: usize,
     /// Members that may hold accounts.
     candidates: Vec<Member>,
-    /// From when on rights are held that nobody asked for; `None` until members are known.
-    from: Option<Instant>,
+    /// When the router starts to hold quota that no request asked for; `None` until members are
+    /// known.
+    hold_from: Option<Instant>,
 }
 
 impl Placement {
-    /// Nothing is known of the members: rights are claimed where a request needs them.
+    /// The placement before members are known: quota is claimed where a request needs it.
     #[must_use]
     pub fn unknown(own: VmName) -> Self {
         Self {
             own,
             fleet: 0,
             candidates: Vec::new(),
-            from: None,
+            hold_from: None,
         }
     }
 
-    /// The placement in a fleet of `members`, the router on `own` among them. It holds rights
-    /// that nobody asked for `from` then on: more members may show at a fleet's first start.
+    /// The placement in a fleet of `members`, which include the router on `own`. At `hold_from` the
+    /// router starts to hold quota that no request asked for: when a fleet first starts, members
+    /// may still join.
     #[must_use]
-    pub fn new(own: VmName, members: Vec<Member>, from: Instant) -> Self {
+    pub fn new(own: VmName, members: Vec<Member>, hold_from: Instant) -> Self {
         let fleet = members.len();
-        let candidates = if fleet <= SMALL_FLEET {
+        let candidates = if fleet <= MAX_SMALL_FLEET {
             members
         } else {
-            choose(members)
+            choose_candidates(members)
         };
         Self {
             own,
             fleet,
             candidates,
-            from: Some(from),
+            hold_from: Some(hold_from),
         }
     }
 
-    /// Whether this router should hold a part of the account, also while it doesn't use it.
+    /// Whether this router should hold a share of the account even while it doesn't use it.
     #[must_use]
     pub fn is_holder(&self, workspace: &WorkspaceName) -> bool {
-        if self.from.is_none_or(|from| Instant::now() < from) {
+        if self.hold_from.is_none_or(|from| Instant::now() < from) {
             return false;
         }
         self.is_placed(workspace)
@@ -96,18 +98,18 @@
         self.rank(workspace).is_none_or(|rank| rank < HOLDERS)
     }
 
-    /// Routers that the account is meant to be shared between.
+    /// Number of routers that the account is meant to be shared between.
     #[must_use]
     pub fn sharers(&self) -> usize {
         if self.is_small() {
-            self.fleet.max(SMALL_SHARERS)
+            self.fleet.max(MIN_SHARERS)
         } else {
             HOLDERS
         }
     }
 
-    /// Place of this router among those that the account is placed on; the number of them for
-    /// one that isn't. `None` in a small fleet, whose routers are alike.
+    /// Position of this router among the holders of the account; the number of holders if it isn't
+    /// one. `None` in a small fleet, where all routers have equal shares.
     #[must_use]
     pub fn rank(&self, workspace: &WorkspaceName) -> Option<usize> {
         if self.is_small() {
@@ -118,9 +120,9 @@
         Some(place.unwrap_or(HOLDERS).min(HOLDERS))
     }
 
-    /// Other routers that this one may reserve with, in the order in which it asks them. Each
-    /// `turn` begins with another one of the holders, so that they are used alike also where
-    /// one router has most of a workspace's callers.
+    /// Other routers that this one may reserve tokens with, in the order in which it asks them.
+    /// Each `turn` begins with the next holder, so that holders are used equally even where one
+    /// router has most of a workspace's callers.
     #[must_use]
     pub fn reserve_order(&self, workspace: &WorkspaceName, turn: u64) -> Vec<VmName> {
         let mut order = self.order(workspace);
@@ -132,7 +134,8 @@
         others.cloned().collect()
     }
 
-    /// Other routers that hold accounts, which a router of a large fleet keeps links to.
+    /// Other routers that may hold accounts; a router of a large fleet keeps links to them. Empty
+    /// in a small fleet.
     #[must_use]
     pub fn peer_holders(&self) -> Vec<VmName> {
         if self.is_small() {
@@ -142,20 +145,21 @@
         vms.filter(|vm| *vm != self.own).collect()
     }
 
-    /// The first `count` routers for what is called `name`, this one among them if it is one.
+    /// The first `count` routers in the rendezvous order of the key `name`; this router may be one
+    /// of them.
     #[must_use]
     pub fn top_ranked(&self, name: &str, count: usize) -> Vec<VmName> {
         let order = self.order(&WorkspaceName::from(name));
         order.into_iter().take(count).cloned().collect()
     }
 
-    /// Whether all routers hold parts of all accounts.
+    /// Whether all routers hold shares of all accounts.
     fn is_small(&self) -> bool {
-        self.fleet <= SMALL_FLEET
+        self.fleet <= MAX_SMALL_FLEET
     }
 
-    /// Candidates by weighted rendezvous, so that a change of the members moves few accounts;
-    /// the first ones are of different failure domains where there are enough.
+    /// Candidates by weighted rendezvous hashing, so that a change of the members moves few
+    /// accounts. The holders are in different failure domains where there are enough.
     fn order(&self, workspace: &WorkspaceName) -> Vec<&VmName> {
         let mut scored: Vec<(f64, &Member)> = Vec::with_capacity(self.candidates.len());
         for member in &self.candidates {
@@ -177,24 +181,24 @@
     }
 }
 
-/// The members of a large fleet that may hold accounts: strong ones, the same ones whoever
-/// chooses.
-fn choose(mut members: Vec<Member>) -> Vec<Member> {
+/// The members of a large fleet that may hold accounts: those with most processor time, in an
+/// order that is the same on every router.
+fn choose_candidates(mut members: Vec<Member>) -> Vec<Member> {
     members.sort_by_key(|member| {
-        let strength = std::cmp::Reverse(member.cpu_millis);
-        (strength, hash("", &member.vm), member.vm.clone())
+        let cpu_millis = std::cmp::Reverse(member.cpu_millis);
+        (cpu_millis, hash("", &member.vm), member.vm.clone())
     });
     let strongest = members.first().map_or(0, |member| member.cpu_millis);
     let strong = members
         .iter()
-        .filter(|member| member.cpu_millis * STRONG_PART >= strongest);
-    let count = strong.count().clamp(CANDIDATES_LEAST, CANDIDATES);
+        .filter(|member| member.cpu_millis * STRONG_DIVISOR >= strongest);
+    let count = strong.count().clamp(MIN_CANDIDATES, MAX_CANDIDATES);
     members.truncate(count);
     members
 }
 
-/// Score of a member for a workspace; the lowest one is first. A member is first for a part of
-/// the workspaces that is in proportion to its strength.
+/// Score of a member for a workspace; the lowest is first. A member is first for a fraction of the
+/// workspaces in proportion to its processor time.
 fn score(workspace: &WorkspaceName, member: &Member) -> f64 {
     let drawn = (hash(workspace.as_str(), &member.vm) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     -drawn.ln() / f64::from(member.cpu_millis.max(1))
--- a/crates/gateway/src/quota/rate.rs
+++ b/crates/gateway/src/quota/rate.rs
@@ -1,4 +1,4 @@
-//! How fast the rights of each workspace are used.
+//! How fast the quota of each workspace is used.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,44 +6,46 @@
 use swiftlink_types::{Tokens, WorkspaceName};
 use tokio::time::Instant;
 
-use super::book::LocalQuota;
+use super::local::LocalQuota;
 
-/// Shortest time over which the rate of use is taken.
-const RATE_TIME: Duration = Duration::from_millis(400);
-/// Time over which the rate of use is averaged, in seconds.
+/// Shortest time between two samples of the rate of use.
+const MIN_SAMPLE: Duration = Duration::from_millis(400);
+/// Time constant of the moving average, in seconds.
 const AVERAGE_SECS: f64 = 3.0;
 
-/// Rates of use, averaged.
+/// Rates of use by workspace, as exponentially weighted moving averages.
 #[derive(Debug, Default)]
 pub(super) struct Rates(HashMap<WorkspaceName, Rate>);
 
-/// Use of one workspace's rights.
+/// Rate of use of one workspace.
 #[derive(Debug)]
 struct Rate {
-    asked: Tokens,
+    /// Tokens asked for in total at the last sample.
+    demand: Tokens,
     at: Instant,
-    value: f64,
+    /// Tokens a second.
+    average: f64,
 }
 
 impl Rates {
-    /// Takes what was asked of the book since the last time, and tells it the rate.
-    pub(super) fn follow(&mut self, book: &LocalQuota) {
-        let demand = book.grant.demand();
-        let asked = (demand.taken + demand.missed).saturating_sub(demand.unspent);
+    /// Samples the demand on `quota` since the last call, and sets its rate.
+    pub(super) fn update(&mut self, quota: &LocalQuota) {
+        let demand = quota.grant.demand();
+        let demand = (demand.taken + demand.missed).saturating_sub(demand.unspent);
         let now = Instant::now();
-        let rate = self.0.entry(book.workspace.clone()).or_insert(Rate {
-            asked,
+        let rate = self.0.entry(quota.workspace.clone()).or_insert(Rate {
+            demand,
             at: now,
-            value: 0.0,
+            average: 0.0,
         });
         let time = now.duration_since(rate.at).as_secs_f64();
-        if time < RATE_TIME.as_secs_f64() {
+        if time < MIN_SAMPLE.as_secs_f64() {
             return;
         }
-        let sample = asked.saturating_sub(rate.asked) as f64 / time;
-        rate.value += (1.0 - (-time / AVERAGE_SECS).exp()) * (sample - rate.value);
-        rate.asked = asked;
+        let sample = demand.saturating_sub(rate.demand) as f64 / time;
+        rate.average += (1.0 - (-time / AVERAGE_SECS).exp()) * (sample - rate.average);
+        rate.demand = demand;
         rate.at = now;
-        book.set_rate(rate.value as u64);
+        quota.set_rate(rate.average as u64);
     }
 }
--- a/crates/gateway/src/quota/spend.rs
+++ b/crates/gateway/src/quota/reservation.rs
@@ -1,17 +1,17 @@
-//! What one request holds and spends.
+//! The tokens that one request reserves and spends.
 
 use std::sync::Arc;
 
 use swiftlink_types::Tokens;
 
-use super::book::LocalQuota;
-use super::remote::RemoteReservation;
+use super::local::LocalQuota;
+use super::reserver::RemoteReservation;
 use crate::dialect::Usage;
 
-/// Rights that one request holds. When it is dropped, what was not spent is free again.
+/// Tokens reserved for one request. Dropping it frees what wasn't spent.
 ///
-/// A caller who gets nothing of an answer pays nothing, whatever ran: the users' platform
-/// counts what a workspace gets.
+/// A caller who gets nothing of an answer pays nothing, whichever servers worked on it: the
+/// users' platform counts what a workspace receives.
 #[derive(Debug)]
 pub struct Reservation {
     source: Source,
@@ -20,17 +20,17 @@
     spent: Tokens,
 }
 
-/// Where the tokens are set aside.
+/// Where the tokens are reserved.
 #[derive(Debug)]
 pub(super) enum Source {
-    /// In this router's own rights.
-    Here(Arc<LocalQuota>),
+    /// In this router's own quota.
+    Local(Arc<LocalQuota>),
     /// At another router.
-    There(RemoteReservation),
+    Peer(RemoteReservation),
 }
 
 impl Reservation {
-    /// Of `reserved` tokens that are set aside for a request.
+    /// Wraps `reserved` tokens that `source` already holds for a request.
     pub(super) fn new(source: Source, usage: Usage, reserved: Tokens) -> Self {
         Self {
             source,
@@ -40,23 +40,23 @@
         }
     }
 
-    /// The answer reaches the caller, `output` tokens of it so far. The prompt is spent with
-    /// its first piece.
+    /// Records that the caller has received `output` tokens of the answer so far. The prompt is
+    /// charged with the first piece.
     pub fn deliver(&mut self, output: Tokens) {
         self.spent = self.usage.prompt + output.min(self.usage.output);
     }
 
-    /// The whole answer reaches the caller, and nobody says how many tokens it has.
+    /// Records that the caller received a whole answer of unknown length.
     pub fn deliver_all(&mut self) {
         self.deliver(self.usage.output);
     }
 
-    /// The request has ended elsewhere, with so many tokens spent.
+    /// Ends a request of another router, which has spent `spent` tokens.
     pub(super) fn settle(mut self, spent: Tokens) {
         self.spent = spent.min(self.reserved);
     }
 
-    /// The request may have spent all that was set aside; gives how much that is.
+    /// Counts all reserved tokens as spent, and returns their number.
     pub(super) fn settle_all(self) -> Tokens {
         let reserved = self.reserved;
         self.settle(reserved);
@@ -73,10 +73,10 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         match &mut self.source {
-            Source::Here(book) => {
-                book.grant.settle(self.reserved, self.spent);
+            Source::Local(quota) => {
+                quota.grant.settle(self.reserved, self.spent);
             }
-            Source::There(reservation) => reservation.end(self.spent),
+            Source::Peer(reservation) => reservation.end(self.spent),
         }
     }
 }
--- a/crates/gateway/tests/testsuite/accounts.rs
+++ b/crates/gateway/tests/testsuite/accounts.rs
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 use prost::Message;
 use swiftlink_gateway::quota::account::{
-    MAX_PREPAID, Stake, adjust, close, decode, granted, rest, spent_by_others,
+    MAX_PREPAID, RouterState, adjust, close, decode, granted, remaining, spent_by_others,
 };
 use swiftlink_wire::rights::{Account, Holder};
 
-fn stake(vm: &str, process: u64) -> Stake {
-    Stake {
+fn router(vm: &str, process: u64) -> RouterState {
+    RouterState {
         vm: vm.to_owned(),
         process,
         granted: 0,
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn the_first_routers_get_a_part_and_leave_the_rest() {
+fn first_routers_leave_a_share_for_later_ones() {
     let mut account = Account::default();
     for process in 1..=7 {
-        let change = adjust(&account, 800_000, &stake(&format!("vm{process}"), process));
+        let change = adjust(&account, 800_000, &router(&format!("vm{process}"), process));
         account = change.expect("a first claim").account;
     }
     let held = committed(&account);
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn a_request_that_waits_gets_what_is_free_at_once() {
-    let first = adjust(&Account::default(), 100_000, &stake("a", 1)).expect("a claim");
-    let mut needy = stake("b", 2);
-    needy.need = 60_000;
-    let change = adjust(&first.account, 100_000, &needy).expect("a claim");
+fn waiting_request_gets_free_tokens_at_once() {
+    let first = adjust(&Account::default(), 100_000, &router("a", 1)).expect("a claim");
+    let mut waiting = router("b", 2);
+    waiting.need = 60_000;
+    let change = adjust(&first.account, 100_000, &waiting).expect("a claim");
     assert!(change.granted >= 60_000, "{}", change.granted);
 }
 
 #[test]
-fn others_give_back_what_a_waiting_request_lacks() {
-    let mut holder = stake("a", 1);
+fn other_routers_return_what_a_waiting_request_lacks() {
+    let mut holder = router("a", 1);
     let account = Account {
         closed: 0,
         holders: vec![
@@ -80,21 +80,21 @@
     let change = adjust(&account, 100_000, &holder).expect("a return");
     assert_eq!(
         change.granted, 15_000,
-        "what runs stays, the rest goes back"
+        "reserved tokens stay, the others are returned"
     );
 }
 
 #[test]
-fn a_younger_process_closes_what_its_predecessor_held() {
-    let first = adjust(&Account::default(), 100_000, &stake("a", 1)).expect("a claim");
-    let second = adjust(&first.account, 100_000, &stake("a", 2)).expect("a claim");
+fn new_process_closes_its_predecessor() {
+    let first = adjust(&Account::default(), 100_000, &router("a", 1)).expect("a claim");
+    let second = adjust(&first.account, 100_000, &router("a", 2)).expect("a claim");
     assert_eq!(second.account.closed, first.granted);
     assert_eq!(granted(&second.account, 1), None);
     assert!(granted(&second.account, 2).is_some());
 }
 
 #[test]
-fn of_what_a_predecessor_held_only_what_its_cap_allowed_is_closed() {
+fn predecessor_counts_as_having_spent_what_its_cap_allowed() {
     let account = Account {
         closed: 7,
         holders: vec![Holder {
@@ -106,38 +106,38 @@
         }],
     };
     for (cap, closed) in [(3_000, 3_007), (1_000, 2_007), (90_000, 10_007)] {
-        let mut me = stake("a", 2);
-        me.ended.insert(1, cap);
-        let change = adjust(&account, 100_000, &me).expect("a claim");
+        let mut own = router("a", 2);
+        own.ended.insert(1, cap);
+        let change = adjust(&account, 100_000, &own).expect("a claim");
         assert_eq!(change.account.closed, closed);
     }
 }
 
 #[test]
-fn a_stop_leaves_only_what_was_spent() {
-    let first = adjust(&Account::default(), 100_000, &stake("a", 1)).expect("a claim");
-    let mut me = stake("a", 1);
-    me.granted = first.granted;
-    me.charged = 1_234;
-    let account = close(&first.account, &me);
+fn stopped_router_leaves_only_what_it_spent() {
+    let first = adjust(&Account::default(), 100_000, &router("a", 1)).expect("a claim");
+    let mut own = router("a", 1);
+    own.granted = first.granted;
+    own.charged = 1_234;
+    let account = close(&first.account, &own);
     assert_eq!(account.closed, 1_234);
     assert!(account.holders.is_empty());
-    assert_eq!(rest(&account, 100_000), 98_766);
+    assert_eq!(remaining(&account, 100_000), 98_766);
 }
 
 #[test]
-fn a_quiet_round_writes_nothing() {
-    let first = adjust(&Account::default(), 100_000, &stake("a", 1)).expect("a claim");
-    let mut me = stake("a", 1);
-    me.granted = first.granted;
-    assert_eq!(adjust(&first.account, 100_000, &me), None);
+fn unchanged_router_writes_nothing() {
+    let first = adjust(&Account::default(), 100_000, &router("a", 1)).expect("a claim");
+    let mut own = router("a", 1);
+    own.granted = first.granted;
+    assert_eq!(adjust(&first.account, 100_000, &own), None);
 }
 
 proptest! {
-    /// No change commits more than was prepaid, but for what is out already, and none
-    /// takes rights away from requests that run.
+    /// No change commits more than was prepaid, apart from what is granted already, and none takes
+    /// tokens from running requests.
     #[test]
-    fn a_change_never_commits_more_than_is_prepaid(
+    fn changes_never_commit_more_than_is_prepaid(
         closed in 0_u64..50_000,
         others in prop::collection::vec((0_u64..40_000, 0_u64..40_000, 0_u64..5_000, 0_u64..20_000), 0..6),
         mine in (0_u64..40_000, 0_u64..40_000, 0_u64..40_000, 0_u64..5_000, 0_u64..30_000),
@@ -155,31 +155,31 @@
             });
         }
         let (unspent, charged, reserved, rate, need) = mine;
-        let mut me = stake("me", 99);
-        me.granted = unspent + charged;
-        me.charged = charged;
-        me.reserved = reserved.min(unspent);
-        me.rate = rate;
-        me.need = need;
+        let mut own = router("me", 99);
+        own.granted = unspent + charged;
+        own.charged = charged;
+        own.reserved = reserved.min(unspent);
+        own.rate = rate;
+        own.need = need;
         account.holders.push(Holder {
-            vm: me.vm.clone(),
-            process: me.process,
-            granted: me.granted,
+            vm: own.vm.clone(),
+            process: own.process,
+            granted: own.granted,
             ..Holder::default()
         });
         let before = committed(&account);
-        if let Some(change) = adjust(&account, prepaid, &me) {
+        if let Some(change) = adjust(&account, prepaid, &own) {
             prop_assert!(committed(&change.account) <= prepaid.max(before));
-            prop_assert!(change.granted >= me.charged + me.reserved);
-            prop_assert_eq!(granted(&change.account, me.process), Some(change.granted));
+            prop_assert!(change.granted >= own.charged + own.reserved);
+            prop_assert_eq!(granted(&change.account, own.process), Some(change.granted));
         }
     }
 }
 
-/// An account with any figures.
+/// An account with arbitrary numbers.
 fn any_account() -> impl Strategy<Value = Account> {
-    let figure = || prop_oneof![any::<u64>(), 0..1_000_000_u64];
-    let holder = (0..6_u64, figure(), figure(), figure(), figure());
+    let number = || prop_oneof![any::<u64>(), 0..1_000_000_u64];
+    let holder = (0..6_u64, number(), number(), number(), number());
     let holder = holder.prop_map(|(process, granted, charged, rate, need)| Holder {
         vm: format!("vm{process}"),
         process,
@@ -188,17 +188,17 @@
         rate,
         need,
     });
-    let account = (figure(), vec(holder, 0..5));
+    let account = (number(), vec(holder, 0..5));
     account.prop_map(|(closed, holders)| Account { closed, holders })
 }
 
-/// Works out all that a router does with an account.
-fn work_out(account: &Account, prepaid: u64) {
-    let mut own = stake("vm1", 1);
+/// Runs all computations that a router does with an account.
+fn compute_all(account: &Account, prepaid: u64) {
+    let mut own = router("vm1", 1);
     own.granted = 1_000;
     own.charged = 500;
     own.need = 2_000;
-    let _left = rest(account, prepaid);
+    let _left = remaining(account, prepaid);
     let _spent = spent_by_others(account, 1);
     let _change = adjust(account, prepaid, &own);
     let _closed = close(account, &own);
@@ -207,26 +207,26 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(10_000))]
 
-    /// Sums of figures beyond any budget came to little where they didn't fit, and so to rights
+    /// Overflowing sums of counts beyond any budget wrapped to small numbers, which granted tokens
     /// that nobody had prepaid.
     #[test]
-    fn any_account_is_refused_or_can_be_worked_out(account in any_account(), prepaid in 0..=MAX_PREPAID) {
+    fn any_account_is_refused_or_computable(account in any_account(), prepaid in 0..=MAX_PREPAID) {
         let value = Bytes::from(account.encode_to_vec());
         if let Ok(account) = decode(value) {
-            work_out(&account, prepaid);
+            compute_all(&account, prepaid);
         }
     }
 
     #[test]
-    fn any_bytes_are_an_account_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
+    fn decode_accepts_any_bytes(bytes in vec(any::<u8>(), 0..200)) {
         if let Ok(account) = decode(Bytes::from(bytes)) {
-            work_out(&account, 1_000_000);
+            compute_all(&account, 1_000_000);
         }
     }
 }
 
 #[test]
-fn an_account_of_the_largest_budget_can_be_read() {
+fn account_of_the_largest_budget_decodes() {
     let holder = |process| Holder {
         vm: format!("vm{process}"),
         process,
@@ -243,12 +243,12 @@
     assert_eq!(read.expect("an account"), account);
 }
 
-/// After a loss of power of all VMs a router found that its earlier process had spent all that it
-/// held, so there was nothing to claim, and it left the account as it was. There that process still
-/// held a third of the budget: 1,000 callers of one workspace were told to come back, for others
-/// would hold rights, in place of being told once that the budget is spent.
+/// Guards against an entry of an ended process that is never closed. After a power loss of all VMs,
+/// a router whose earlier process had spent all that it held had nothing to claim, and left the
+/// account unchanged. The entry still showed a third of the budget as held, so 1,000 callers of one
+/// workspace were told to retry instead of being told that the budget is spent.
 #[test]
-fn an_earlier_process_that_spent_all_is_closed_also_where_nothing_can_be_claimed() {
+fn predecessor_is_closed_even_when_nothing_can_be_claimed() {
     let earlier = Holder {
         vm: "a".to_owned(),
         process: 1,
@@ -261,11 +261,15 @@
         closed: 0,
         holders: vec![earlier],
     };
-    let mut next = stake("a", 2);
+    let mut next = router("a", 2);
     next.ended.insert(1, 100_000);
-    let change = adjust(&account, 100_000, &next).expect("the earlier process is closed");
+    let change =
+        adjust(&account, 100_000, &next).expect("a change that closes the earlier process");
     assert_eq!(change.closed.len(), 1);
     assert_eq!(change.granted, 0);
-    assert_eq!(rest(&change.account, 100_000), 0);
-    assert!(adjust(&change.account, 100_000, &next).is_none(), "once");
+    assert_eq!(remaining(&change.account, 100_000), 0);
+    assert!(
+        adjust(&change.account, 100_000, &next).is_none(),
+        "closed once"
+    );
 }
--- a/crates/gateway/tests/testsuite/book.rs
+++ b/crates/gateway/tests/testsuite/book.rs
@@ -1,4 +1,4 @@
-//! A router's rights in memory.
+//! A router's quota in memory.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -33,16 +33,18 @@
     }
 }
 
-fn books() -> QuotaTable {
+fn quotas() -> QuotaTable {
     let placement = Placement::new(name(0), members(5), Instant::now());
     QuotaTable::new(placement, 2, TestClock::new())
 }
 
-fn book() -> (QuotaTable, Arc<LocalQuota>) {
-    let books = books();
-    books.set_config(&config(Some(10_000)));
-    let book = books.get(&WorkspaceName::from("acme")).expect("a book");
-    (books, book)
+fn quota() -> (QuotaTable, Arc<LocalQuota>) {
+    let quotas = quotas();
+    quotas.set_config(&config(Some(10_000)));
+    let quota = quotas
+        .get(&WorkspaceName::from("acme"))
+        .expect("quota of the workspace");
+    (quotas, quota)
 }
 
 const USAGE: Usage = Usage {
@@ -51,56 +53,56 @@
 };
 
 #[tokio::test]
-async fn a_request_pays_its_prompt_and_what_was_delivered() {
-    let (_books, book) = book();
-    book.grant.credit(1_000);
-    let mut spend = book.reserve(USAGE, Duration::ZERO).await.expect("rights");
-    assert_eq!(book.balance().reserved, 150);
-    spend.deliver(20);
-    drop(spend);
-    let standing = book.balance();
-    assert_eq!((standing.charged, standing.reserved), (120, 0));
+async fn request_pays_its_prompt_and_delivered_output() {
+    let (_quotas, quota) = quota();
+    quota.grant.credit(1_000);
+    let mut reservation = quota.reserve(USAGE, Duration::ZERO).await.expect("quota");
+    assert_eq!(quota.balance().reserved, 150);
+    reservation.deliver(20);
+    drop(reservation);
+    let balance = quota.balance();
+    assert_eq!((balance.charged, balance.reserved), (120, 0));
 }
 
 #[tokio::test]
-async fn a_request_whose_caller_gets_nothing_pays_nothing() {
-    let (_books, book) = book();
-    book.grant.credit(1_000);
-    let spend = book.reserve(USAGE, Duration::ZERO).await.expect("rights");
-    assert_eq!(spend.spent(), 0);
-    drop(spend);
-    assert_eq!(book.balance().charged, 0);
-    assert_eq!(book.grant.available(), 1_000);
+async fn request_without_delivery_pays_nothing() {
+    let (_quotas, quota) = quota();
+    quota.grant.credit(1_000);
+    let reservation = quota.reserve(USAGE, Duration::ZERO).await.expect("quota");
+    assert_eq!(reservation.spent(), 0);
+    drop(reservation);
+    assert_eq!(quota.balance().charged, 0);
+    assert_eq!(quota.grant.available(), 1_000);
 }
 
 #[tokio::test]
-async fn an_answer_of_unknown_length_pays_its_most() {
-    let (_books, book) = book();
-    book.grant.credit(1_000);
-    let mut spend = book.reserve(USAGE, Duration::ZERO).await.expect("rights");
-    spend.deliver_all();
-    drop(spend);
-    assert_eq!(book.balance().charged, 150);
+async fn answer_of_unknown_length_pays_its_maximum() {
+    let (_quotas, quota) = quota();
+    quota.grant.credit(1_000);
+    let mut reservation = quota.reserve(USAGE, Duration::ZERO).await.expect("quota");
+    reservation.deliver_all();
+    drop(reservation);
+    assert_eq!(quota.balance().charged, 150);
 }
 
 #[tokio::test]
-async fn no_request_pays_more_than_it_reserved() {
-    let (_books, book) = book();
-    book.grant.credit(1_000);
-    let mut spend = book.reserve(USAGE, Duration::ZERO).await.expect("rights");
-    spend.deliver(5_000);
-    drop(spend);
-    assert_eq!(book.balance().charged, 150);
+async fn charge_is_limited_to_the_reservation() {
+    let (_quotas, quota) = quota();
+    quota.grant.credit(1_000);
+    let mut reservation = quota.reserve(USAGE, Duration::ZERO).await.expect("quota");
+    reservation.deliver(5_000);
+    drop(reservation);
+    assert_eq!(quota.balance().charged, 150);
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_rights_and_without_news_the_request_may_come_back() {
-    let (_books, book) = book();
-    let refused = book.reserve(USAGE, Duration::from_millis(100)).await;
+async fn request_without_quota_is_told_to_retry() {
+    let (_quotas, quota) = quota();
+    let refused = quota.reserve(USAGE, Duration::from_millis(100)).await;
     assert_eq!(refused.err(), Some(QuotaError::HeldElsewhere));
 }
 
-fn ask(number: u64, tokens: u64) -> Reserve {
+fn reserve_request(number: u64, tokens: u64) -> Reserve {
     Reserve {
         process: 9,
         number,
@@ -116,93 +118,107 @@
 }
 
 #[tokio::test]
-async fn a_reservation_counts_as_reserved_by_the_holder_until_it_is_released() {
-    let (books, book) = book();
-    book.grant.credit(1_000);
+async fn reservation_counts_at_the_holder_until_released() {
+    let (quotas, quota) = quota();
+    quota.grant.credit(1_000);
     let reservations = PeerReservations::default();
-    let reserved = reservations.reserve(&books, &ask(1, 600)).await;
+    let reserved = reservations
+        .reserve(&quotas, &reserve_request(1, 600))
+        .await;
     assert_eq!(reserved.refusal(), Refusal::Unspecified);
-    let standing = book.balance();
-    assert_eq!((standing.granted, standing.reserved), (1_000, 600));
+    let balance = quota.balance();
+    assert_eq!((balance.granted, balance.reserved), (1_000, 600));
 
     reservations.release(9, &[ended(1, 250)]);
-    let standing = book.balance();
-    assert_eq!((standing.charged, standing.reserved), (250, 0));
-    assert_eq!(book.grant.available(), 750);
+    let balance = quota.balance();
+    assert_eq!((balance.charged, balance.reserved), (250, 0));
+    assert_eq!(quota.grant.available(), 750);
 }
 
 #[tokio::test]
-async fn a_release_that_is_repeated_or_not_known_changes_nothing() {
-    let (books, book) = book();
-    book.grant.credit(1_000);
+async fn repeated_or_unknown_release_is_ignored() {
+    let (quotas, quota) = quota();
+    quota.grant.credit(1_000);
     let reservations = PeerReservations::default();
-    reservations.reserve(&books, &ask(1, 600)).await;
+    reservations
+        .reserve(&quotas, &reserve_request(1, 600))
+        .await;
     for _repeat in 0..3 {
         reservations.release(9, &[ended(1, 250), ended(7, 100)]);
         reservations.release(8, &[ended(1, 100)]);
     }
-    assert_eq!(book.balance().charged, 250);
-    assert_eq!(book.grant.available(), 750);
+    assert_eq!(quota.balance().charged, 250);
+    assert_eq!(quota.grant.available(), 750);
 }
 
 #[tokio::test]
-async fn a_holder_says_why_it_refuses() {
-    let (books, book) = book();
-    book.grant.credit(1_000);
+async fn refusal_states_its_reason() {
+    let (quotas, quota) = quota();
+    quota.grant.credit(1_000);
     let reservations = PeerReservations::default();
-    let refused = reservations.reserve(&books, &ask(1, 2_000)).await;
+    let refused = reservations
+        .reserve(&quotas, &reserve_request(1, 2_000))
+        .await;
     assert_eq!(refused.refusal(), Refusal::Elsewhere);
-    let refused = reservations.reserve(&books, &ask(2, 20_000)).await;
+    let refused = reservations
+        .reserve(&quotas, &reserve_request(2, 20_000))
+        .await;
     assert_eq!((refused.refusal(), refused.rest), (Refusal::Spent, 10_000));
     assert!(reservations.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_was_released_while_it_waited_holds_nothing() {
-    let (books, book) = book();
+async fn reservation_released_while_waiting_holds_nothing() {
+    let (quotas, quota) = quota();
     let reservations = Arc::new(PeerReservations::default());
     let waiting = Reserve {
         wait_ms: 500,
-        ..ask(1, 600)
+        ..reserve_request(1, 600)
     };
-    let asked = Arc::clone(&reservations);
-    let asked = tokio::spawn(async move { asked.reserve(&books, &waiting).await });
+    let peers = Arc::clone(&reservations);
+    let reserved = tokio::spawn(async move { peers.reserve(&quotas, &waiting).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
     reservations.release(9, &[ended(1, 0)]);
-    book.grant.credit(1_000);
-    asked.await.expect("an answer");
-    assert_eq!(book.grant.available(), 1_000);
+    quota.grant.credit(1_000);
+    reserved.await.expect("an answer");
+    assert_eq!(quota.grant.available(), 1_000);
     assert!(reservations.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_is_never_released_counts_as_spent() {
-    let (books, book) = book();
-    book.grant.credit(1_000);
+async fn reservation_never_released_counts_as_spent() {
+    let (quotas, quota) = quota();
+    quota.grant.credit(1_000);
     let reservations = PeerReservations::default();
-    reservations.reserve(&books, &ask(1, 600)).await;
+    reservations
+        .reserve(&quotas, &reserve_request(1, 600))
+        .await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    assert_eq!(reservations.expire(), 0, "its router may still say");
+    assert_eq!(reservations.expire(), 0, "its router may still release it");
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(reservations.expire(), 600);
-    assert_eq!(book.balance().charged, 600);
+    assert_eq!(quota.balance().charged, 600);
 }
 
 #[test]
-fn a_workspace_without_a_limit_has_no_book() {
-    let books = books();
-    books.set_config(&config(None));
-    assert!(books.get(&WorkspaceName::from("acme")).is_none());
+fn workspace_without_a_limit_has_no_quota() {
+    let quotas = quotas();
+    quotas.set_config(&config(None));
+    assert!(quotas.get(&WorkspaceName::from("acme")).is_none());
 }
 
-/// A holder whose rights wait for a cap says when the cap lets them out.
+/// The time to retry is only known where the holder has enough tokens that a cap will unlock.
 #[tokio::test(start_paused = true)]
-async fn a_holder_whose_rights_are_locked_says_when_they_open() {
-    let (books, book) = book();
+async fn retry_time_needs_enough_held_tokens() {
+    let (quotas, quota) = quota();
     let reservations = PeerReservations::default();
-    let refused = reservations.reserve(&books, &ask(1, 600)).await;
+    let refused = reservations
+        .reserve(&quotas, &reserve_request(1, 600))
+        .await;
     assert_eq!(refused.back_ms, None, "it holds none");
-    book.grant.credit(100);
-    let refused = reservations.reserve(&books, &ask(2, 600)).await;
+    quota.grant.credit(100);
+    let refused = reservations
+        .reserve(&quotas, &reserve_request(2, 600))
+        .await;
     assert_eq!(refused.back_ms, None, "it holds too little");
 }
--- a/crates/gateway/tests/testsuite/holders.rs
+++ b/crates/gateway/tests/testsuite/holders.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_router_of_a_small_fleet_holds_a_part_of_each_account() {
+fn each_router_of_a_small_fleet_holds_a_share_of_each_account() {
     for own in 0..8 {
         assert!(placement(own, 8).is_holder(&workspace(own)));
         assert!(placement(own, 8).peer_holders().is_empty());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_few_strong_routers_in_different_domains_hold_an_account_of_a_large_fleet() {
+fn strong_routers_in_different_domains_hold_an_account_of_a_large_fleet() {
     for count in [30, 100, 300, 1_000] {
         let all = members(count);
         let placements: Vec<_> = (0..count).map(|own| placement(own, count)).collect();
@@ -42,17 +42,17 @@
     }
 }
 
-/// Links grow with the fleet, not with its square.
+/// The number of links grows with the fleet, not with its square.
 #[test]
-fn a_router_keeps_a_bounded_number_of_links() {
+fn number_of_links_is_bounded() {
     for count in [30, 300, 1_000] {
-        let linked = placement(count - 1, count).peer_holders().len();
-        assert!((3..=24).contains(&linked), "{linked} of {count}");
+        let links = placement(count - 1, count).peer_holders().len();
+        assert!((3..=24).contains(&links), "{links} of {count}");
     }
 }
 
 #[test]
-fn routers_ask_the_holders_first_and_begin_with_each_in_turn() {
+fn routers_ask_the_holders_first_in_rotating_order() {
     let mut first: HashMap<VmName, usize> = HashMap::new();
     for own in 100..300 {
         let order = placement(own, 300).reserve_order(&workspace(1), own as u64);
@@ -67,9 +67,9 @@
     assert!(first.values().all(|count| *count > 40), "{first:?}");
 }
 
-/// When a VM is gone for good, only the accounts that it held are placed elsewhere.
+/// When a VM is permanently lost, only the accounts that it held are moved.
 #[test]
-fn a_lost_member_moves_only_its_own_accounts() {
+fn lost_member_moves_only_its_own_accounts() {
     let all = members(300);
     let without: Vec<_> = all.iter().skip(1).cloned().collect();
     let before = Placement::new(name(200), all, Instant::now());
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn nobody_holds_what_nobody_asked_for_before_the_members_are_known() {
+fn no_router_holds_unrequested_quota_before_members_are_known() {
     let placement = Placement::unknown(name(0));
     assert!(!placement.is_holder(&workspace(0)));
     assert!(placement.reserve_order(&workspace(0), 0).is_empty());
--- a/crates/gateway/tests/testsuite/losses.rs
+++ b/crates/gateway/tests/testsuite/losses.rs
@@ -1,5 +1,5 @@
-//! What is lost, and never spent twice, when routers end: killed, without power, after cuts and
-//! beside others. Time is paused.
+//! Tokens lost when routers are killed, lose power, end after store outages or restart beside other
+//! routers: few are lost, and none is spent twice. Time is paused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 };
 
 /// A peer that saw each process a tenth of a second before its end, which was at `ended` by the
-/// steady clock of its VM.
+/// monotonic clock of its VM.
 #[derive(Debug)]
 struct Peer {
     ended: u64,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Each router has used some of its rights when all of them end at once; what they held
-/// beyond that is free again, all but a few hundredths of the budget.
+/// All routers end at once after each has spent some of its quota. All but a few hundredths of the
+/// budget must be available again.
 async fn all_end_at_once(lost_power: bool) {
     let mut rng = Pcg64::seed_from_u64(7);
     let store = Arc::new(MemStore::new());
@@ -55,8 +55,8 @@
     let mut spent = 0;
     while spent < PREPAID / 4 {
         let vm = rng.random_range(0..ROUTERS);
-        spent += request(&routers[vm].book, &mut rng).await;
-        // As on the users' deployments, a budget is about fifty seconds of use.
+        spent += request(&routers[vm].quota, &mut rng).await;
+        // Makes the budget last about fifty seconds, as on the users' deployments.
         sleep(Duration::from_millis(400)).await;
     }
     kill_all(&mut routers, &clocks, lost_power, &mut rng);
@@ -64,7 +64,7 @@
     let routers = start_all(&store, &clocks, ROUTERS as u64 + 1);
     for _step in 0..2_000 {
         let vm = rng.random_range(0..ROUTERS);
-        spent += request(&routers[vm].book, &mut rng).await;
+        spent += request(&routers[vm].quota, &mut rng).await;
         sleep(Duration::from_millis(50)).await;
     }
     let least = PREPAID * 90 / 100;
@@ -82,8 +82,8 @@
     all_end_at_once(true).await;
 }
 
-/// Routers that have spent nothing for a while lose power together, at any time since their
-/// last caps; the time until they are back is no cut.
+/// Routers that have spent nothing for a while lose power together, at any age of their last caps.
+/// The time until they restart must not count as a store outage, which would add to the caps.
 #[tokio::test(start_paused = true)]
 async fn little_is_lost_when_idle_vms_lose_power() {
     for offset in (0..1_500).step_by(100) {
@@ -98,7 +98,7 @@
         sleep(Duration::from_millis(900)).await;
         let routers = start_all(&store, &clocks, ROUTERS as u64 + 1);
         sleep(Duration::from_secs(5)).await;
-        let left = routers[0].book.remaining();
+        let left = routers[0].quota.remaining();
         let least = PREPAID * 98 / 100;
         assert!(
             left >= least,
@@ -107,32 +107,32 @@
     }
 }
 
-/// Spends a prompt of `tokens` if there are rights for it within `wait`; gives what was spent.
-async fn spend(book: &Arc<LocalQuota>, tokens: u64, wait: Duration) -> u64 {
+/// Spends a prompt of `tokens` if there is quota for it within `wait`; returns the tokens spent.
+async fn spend(quota: &Arc<LocalQuota>, tokens: u64, wait: Duration) -> u64 {
     let usage = Usage {
         prompt: tokens,
         output: 0,
     };
-    let Ok(mut spend) = book.reserve(usage, wait).await else {
+    let Ok(mut reservation) = quota.reserve(usage, wait).await else {
         return 0;
     };
-    spend.deliver(0);
-    spend.spent()
+    reservation.deliver(0);
+    reservation.spent()
 }
 
 /// Spends what is left of the budget, a thousand tokens at a time.
-async fn spend_rest(book: &Arc<LocalQuota>, wait: Duration) -> u64 {
+async fn spend_rest(quota: &Arc<LocalQuota>, wait: Duration) -> u64 {
     let mut spent = 0;
     for _step in 0..400 {
-        spent += spend(book, 1_000, wait).await;
+        spent += spend(quota, 1_000, wait).await;
     }
     spent
 }
 
-/// In a cut a router may spend more and more of what it holds, and its successor counts
+/// In a store outage a router may spend more and more of its quota, and its successor must count
 /// that as spent.
 #[tokio::test(start_paused = true)]
-async fn a_cut_that_ends_in_a_kill_costs_what_may_have_been_spent_in_it() {
+async fn kill_after_an_outage_costs_what_may_have_been_spent() {
     let store = Arc::new(MemStore::new());
     let clock = TestClock::new();
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
@@ -140,22 +140,22 @@
     store.set_fault(StoreFault::Away);
     let mut spent = 0;
     for _step in 0..60 {
-        spent += spend(&router.book, 1_000, Duration::ZERO).await;
+        spent += spend(&router.quota, 1_000, Duration::ZERO).await;
         sleep(Duration::from_secs(1)).await;
     }
     assert!(spent > 10_000, "{spent} in a minute");
     router.claims.abort();
     store.set_fault(StoreFault::None);
     let next = start_at(&store, 0, 2, PREPAID, clock);
-    spent += spend_rest(&next.book, Duration::from_millis(100)).await;
+    spent += spend_rest(&next.quota, Duration::from_millis(100)).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
     assert!(spent > PREPAID / 2, "{spent} of {PREPAID}");
 }
 
-/// What one VM's loss of power costs, without peers that saw it and with one: the use of some
-/// seconds more is lost for a clock that may have jumped.
+/// Compares the cost of one VM's power loss without a peer that saw the router and with one.
+/// Without it, some seconds more of use are lost, since the clock may have jumped.
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_saw_a_router_spares_what_a_jump_of_the_clock_would_cost() {
+async fn sighting_by_a_peer_avoids_the_allowance_for_a_clock_jump() {
     let mut left = Vec::new();
     for is_seen in [false, true] {
         let store = Arc::new(MemStore::new());
@@ -165,9 +165,9 @@
             let other = start(&store, vm, vm as u64 + 10, 0);
             drop(other.claims);
         }
-        spend_some(&router.book).await;
+        spend_some(&router.quota).await;
         router.claims.abort();
-        let witness: Arc<dyn LastSeen> = if is_seen {
+        let last_seen: Arc<dyn LastSeen> = if is_seen {
             Arc::new(Peer {
                 ended: clock.steady(),
                 at: Instant::now(),
@@ -177,17 +177,17 @@
         };
         clock.lose_power(0);
         sleep(Duration::from_millis(1_000)).await;
-        let next = start_seen(&store, 0, 2, PREPAID, clock, witness);
+        let next = start_seen(&store, 0, 2, PREPAID, clock, last_seen);
         sleep(Duration::from_secs(2)).await;
-        left.push(next.book.remaining());
+        left.push(next.quota.remaining());
     }
     assert!(left[1] >= left[0] + PREPAID / 20, "{left:?}");
 }
 
-/// Other routers write to the feed of caps all the time; a router that starts after a loss of
-/// power, and waits a while to see who else did, has its rights all the same.
+/// A router that starts after a power loss waits to see which others restarted. It must get its
+/// quota although other routers write to the feed of caps all the time.
 #[tokio::test(start_paused = true)]
-async fn a_router_starts_beside_others_that_write() {
+async fn router_starts_while_others_write() {
     let store = Arc::new(MemStore::new());
     let clock = TestClock::new();
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
@@ -195,7 +195,7 @@
         let other = start(&store, vm, vm as u64 + 10, 0);
         drop(other.claims);
     }
-    let mut spent = spend_some(&router.book).await;
+    let mut spent = spend_some(&router.quota).await;
     router.claims.abort();
     clock.lose_power(0);
     let feed = Arc::clone(&store);
@@ -209,46 +209,46 @@
     });
     let next = start_at(&store, 0, 2, PREPAID, clock);
     sleep(Duration::from_secs(2)).await;
-    spent += spend_rest(&next.book, Duration::from_millis(200)).await;
+    spent += spend_rest(&next.quota, Duration::from_millis(200)).await;
     writer.abort();
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
     assert!(spent > PREPAID / 2, "{spent} of {PREPAID}");
 }
 
-/// A page of the feed of caps that is older than what was acknowledged isn't trusted.
+/// A page of the feed of caps that is older than an acknowledged append must not be used.
 #[tokio::test(start_paused = true)]
-async fn an_old_page_of_caps_opens_nothing() {
+async fn stale_page_of_caps_grants_nothing() {
     let store = Arc::new(MemStore::new());
     let clock = TestClock::new();
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
     sleep(Duration::from_secs(1)).await;
-    // Reads answer from here on as if nothing had been spent yet.
+    // From here on, reads return the state before anything was spent.
     store.set_fault(StoreFault::Stale);
-    let mut spent = spend_some(&router.book).await;
+    let mut spent = spend_some(&router.quota).await;
     router.claims.abort();
     let next = start_at(&store, 0, 2, PREPAID, clock);
     sleep(Duration::from_secs(2)).await;
-    assert_eq!(next.book.balance().granted, 0);
+    assert_eq!(next.quota.balance().granted, 0);
     store.set_fault(StoreFault::None);
-    spent += spend_rest(&next.book, Duration::from_millis(200)).await;
+    spent += spend_rest(&next.quota, Duration::from_millis(200)).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
     assert!(spent > PREPAID / 2, "{spent} of {PREPAID}");
 }
 
-/// Spends thirty thousand tokens or so in three seconds.
-async fn spend_some(book: &Arc<LocalQuota>) -> u64 {
+/// Spends about thirty thousand tokens in three seconds.
+async fn spend_some(quota: &Arc<LocalQuota>) -> u64 {
     let mut spent = 0;
     for _step in 0..30 {
-        spent += spend(book, 1_000, Duration::from_millis(50)).await;
+        spent += spend(quota, 1_000, Duration::from_millis(50)).await;
         sleep(Duration::from_millis(100)).await;
     }
     spent
 }
 
-/// A cap that was sent may be stored late, so it binds from the moment that it is sent, also
-/// where the one before it allows more.
+/// A cap that was sent may be stored late, so it applies from the moment that it is sent, even
+/// where the one before allows more.
 #[tokio::test(start_paused = true)]
-async fn a_cap_without_an_answer_binds_as_well_as_the_one_before_it() {
+async fn unconfirmed_cap_applies_together_with_the_one_before() {
     let store = Arc::new(MemStore::new());
     let clock = TestClock::new();
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
@@ -258,31 +258,31 @@
         output: 0,
     };
     let wait = Duration::from_millis(300);
-    // The cap stored now allows for it; it doesn't run, and the next cap is small again.
-    drop(router.book.reserve(large, wait).await.expect("rights"));
+    // The stored cap allows this request. It is dropped, so the next cap is small again.
+    drop(router.quota.reserve(large, wait).await.expect("quota"));
     store.set_fault(StoreFault::Late);
     sleep(Duration::from_millis(700)).await;
-    let mut spent = spend(&router.book, large.prompt, Duration::ZERO).await;
+    let mut spent = spend(&router.quota, large.prompt, Duration::ZERO).await;
     router.claims.abort();
     store.release();
     store.set_fault(StoreFault::None);
     let next = start_at(&store, 0, 2, PREPAID, clock);
-    spent += spend_rest(&next.book, wait).await;
+    spent += spend_rest(&next.quota, wait).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
 }
 
-/// A workspace that holds nothing isn't in a new cap, and what an older cap allowed it must
-/// not count any more: its successor takes a workspace that isn't there as unspent.
+/// A new cap omits workspaces without quota, and a successor counts an omitted workspace as
+/// unspent. So what an older cap allowed must not be used after that.
 #[tokio::test(start_paused = true)]
-async fn a_workspace_that_is_left_out_of_a_cap_is_bound_by_that() {
+async fn workspace_omitted_from_a_cap_spends_nothing() {
     let store = Arc::new(MemStore::new());
     let clock = TestClock::new();
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
-    // One of a hundred routers, and not strong enough to hold accounts.
+    // One of a hundred routers, with too little processor time to hold accounts.
     let mut fleet = members(100);
     fleet[0].cpu_millis = 1;
     let placement = Placement::new(name(0), fleet, Instant::now());
-    router.books.set_placement(placement);
+    router.quotas.set_placement(placement);
     let mut both = config(Some(PREPAID));
     let other = Arc::new(Workspace {
         name: WorkspaceName::from("other"),
@@ -291,24 +291,27 @@
         prepaid: Some(PREPAID),
     });
     both.workspaces.insert(other.name.clone(), other);
-    router.books.set_config(&both);
+    router.quotas.set_config(&both);
     let large = Usage {
         prompt: 100_000,
         output: 0,
     };
     let wait = Duration::from_millis(500);
-    drop(router.book.reserve(large, wait).await.expect("rights"));
-    let other = router.books.get(&WorkspaceName::from("other"));
-    let held = other.expect("a book").reserve(large, wait).await;
-    // Without callers it gives all back; the other workspace's request goes on.
+    drop(router.quota.reserve(large, wait).await.expect("quota"));
+    let other = router.quotas.get(&WorkspaceName::from("other"));
+    let held = other
+        .expect("quota of the workspace")
+        .reserve(large, wait)
+        .await;
+    // Without callers it returns all quota; the other workspace's request keeps running.
     sleep(Duration::from_secs(120)).await;
     assert!(held.is_ok());
-    assert_eq!(router.book.balance().granted, 0);
+    assert_eq!(router.quota.balance().granted, 0);
     store.set_fault(StoreFault::NoNumbered);
-    let mut spent = spend(&router.book, large.prompt, wait).await;
+    let mut spent = spend(&router.quota, large.prompt, wait).await;
     router.claims.abort();
     store.set_fault(StoreFault::None);
     let next = start_at(&store, 0, 2, PREPAID, clock);
-    spent += spend_rest(&next.book, wait).await;
+    spent += spend_rest(&next.quota, wait).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
 }
--- a/crates/gateway/tests/testsuite/rights.rs
+++ b/crates/gateway/tests/testsuite/rights.rs
@@ -1,7 +1,6 @@
-//! Histories of routers that share a budget while they, the store and its answers fail.
+//! Randomized runs of routers that share a budget while routers, the store and its answers fail.
 //!
-//! Time is paused, so a history of minutes takes a moment; its seed is printed when it
-//! fails.
+//! Time is paused, so a run of minutes takes little time; a failed run prints its seed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,8 +29,8 @@
 
 pub(crate) struct Router {
     pub(crate) claims: Claims,
-    pub(crate) book: Arc<LocalQuota>,
-    pub(crate) books: Arc<QuotaTable>,
+    pub(crate) quota: Arc<LocalQuota>,
+    pub(crate) quotas: Arc<QuotaTable>,
 }
 
 pub(crate) fn start(store: &Arc<MemStore>, vm: usize, process: u64, prepaid: u64) -> Router {
@@ -48,7 +47,7 @@
     start_seen(store, vm, process, prepaid, clock, Arc::new(Nobody))
 }
 
-/// Nobody has seen anything.
+/// Peers that have seen no process.
 #[derive(Debug)]
 pub(crate) struct Nobody;
 
@@ -65,7 +64,7 @@
     process: u64,
     prepaid: u64,
     clock: Arc<TestClock>,
-    witness: Arc<dyn LastSeen>,
+    last_seen: Arc<dyn LastSeen>,
 ) -> Router {
     let member = Member {
         started_ms: clock.read().wall,
@@ -75,19 +74,21 @@
     store.put(Feed::Members(0), &format!("vm{vm}"), Some(member));
     let own = VmName::from(format!("vm{vm}"));
     let placement = Placement::new(own.clone(), members(ROUTERS), Instant::now());
-    let books = Arc::new(QuotaTable::new(placement, 2, clock));
-    books.set_config(&config(Some(prepaid)));
+    let quotas = Arc::new(QuotaTable::new(placement, 2, clock));
+    quotas.set_config(&config(Some(prepaid)));
     let store: Arc<dyn Store> = Arc::clone(store) as Arc<dyn Store>;
-    let claims = Claims::spawn(&books, &store, witness, &own, process);
-    let book = books.get(&WorkspaceName::from("acme")).expect("a book");
+    let claims = Claims::spawn(&quotas, &store, last_seen, &own, process);
+    let quota = quotas
+        .get(&WorkspaceName::from("acme"))
+        .expect("quota of the workspace");
     Router {
         claims,
-        book,
-        books,
+        quota,
+        quotas,
     }
 }
 
-/// Starts a router on each VM; the first one's process is `process`.
+/// Starts a router on each VM; `process` is the first one's process.
 pub(crate) fn start_all(
     store: &Arc<MemStore>,
     clocks: &[Arc<TestClock>],
@@ -100,22 +101,22 @@
     vms.map(start).collect()
 }
 
-/// One request; gives the tokens that it spent.
-pub(crate) async fn request(book: &Arc<LocalQuota>, rng: &mut Pcg64) -> u64 {
+/// Runs one request and returns the tokens that it spent.
+pub(crate) async fn request(quota: &Arc<LocalQuota>, rng: &mut Pcg64) -> u64 {
     let usage = Usage {
         prompt: rng.random_range(1..3_000),
         output: rng.random_range(0..500),
     };
     let wait = Duration::from_millis(rng.random_range(0..50));
-    let Ok(mut spend) = book.reserve(usage, wait).await else {
+    let Ok(mut reservation) = quota.reserve(usage, wait).await else {
         return 0;
     };
     if rng.random_bool(0.1) {
-        // No piece of an answer came.
+        // The caller received nothing.
         return 0;
     }
-    spend.deliver(rng.random_range(0..=usage.output));
-    spend.spent()
+    reservation.deliver(rng.random_range(0..=usage.output));
+    reservation.spent()
 }
 
 fn draw_fault(rng: &mut Pcg64) -> StoreFault {
@@ -128,8 +129,7 @@
     }
 }
 
-/// Ends a router without a last word. Its VM may lose power and come back with another
-/// steady clock.
+/// Kills a router. Its VM may lose power and restart with another monotonic clock.
 fn kill(router: &mut Router, clock: &TestClock, lost_power: bool, rng: &mut Pcg64) {
     router.claims.abort();
     if lost_power {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Ends all routers at the same time. One clock jumps.
+/// Kills all routers at the same time. One VM's clock jumps.
 pub(crate) fn kill_all(
     routers: &mut [Router],
     clocks: &[Arc<TestClock>],
@@ -150,17 +150,17 @@
     jump(&clocks[rng.random_range(0..clocks.len())], rng);
 }
 
-/// Lets a time of day jump, by less than 3 seconds.
+/// Makes a wall clock jump by less than 3 seconds.
 fn jump(clock: &TestClock, rng: &mut Pcg64) {
     clock.set_jump(rng.random_range(-1_400..1_500));
 }
 
-/// The time until processes are back.
-async fn down(rng: &mut Pcg64) {
+/// Sleeps until ended processes restart.
+async fn restart_delay(rng: &mut Pcg64) {
     sleep(Duration::from_millis(rng.random_range(0..1_500))).await;
 }
 
-async fn history(seed: u64) {
+async fn run(seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let store = Arc::new(MemStore::new());
     let mut process = 0;
@@ -176,19 +176,19 @@
         let vm = rng.random_range(0..ROUTERS);
         match rng.random_range(0..100) {
             0..2 => {
-                // Killed: nothing of it is left but what stands on the store.
+                // Killed: only what is on the store remains.
                 let lost_power = rng.random_bool(0.5);
                 process += 1;
                 kill(&mut routers[vm], &clocks[vm], lost_power, &mut rng);
                 jump(&clocks[vm], &mut rng);
-                down(&mut rng).await;
+                restart_delay(&mut rng).await;
                 let clock = Arc::clone(&clocks[vm]);
                 routers[vm] = start_at(&store, vm, process, PREPAID, clock);
             }
             2..3 => {
                 let lost_power = rng.random_bool(0.5);
                 kill_all(&mut routers, &clocks, lost_power, &mut rng);
-                down(&mut rng).await;
+                restart_delay(&mut rng).await;
                 for (vm, clock) in clocks.iter().enumerate() {
                     process += 1;
                     let clock = Arc::clone(clock);
@@ -207,18 +207,18 @@
             8..11 => store.release(),
             11 => (0..12).for_each(|part| store.compact(Feed::Rights(part))),
             12..40 => sleep(Duration::from_millis(rng.random_range(0..800))).await,
-            _ => spent += request(&routers[vm].book, &mut rng).await,
+            _ => spent += request(&routers[vm].quota, &mut rng).await,
         }
         assert!(spent <= PREPAID, "seed {seed}: {spent} of {PREPAID} spent");
     }
 }
 
-/// Without a router's own limit on what it spends, without the condition on appends, or
-/// with rights taken back while an append may still be done, this overspends.
+/// Overspends without a router's own limit on what it spends, without conditional appends, or if
+/// returned quota is used again while the append that returned it may still succeed.
 #[tokio::test(start_paused = true)]
-async fn no_history_spends_more_than_was_prepaid() {
+async fn no_run_spends_more_than_was_prepaid() {
     for seed in 0..200 {
-        history(seed).await;
+        run(seed).await;
     }
 }
 
@@ -233,7 +233,7 @@
     let mut spent = 0;
     for _step in 0..2_000 {
         let vm = rng.random_range(0..ROUTERS);
-        spent += request(&routers[vm].book, &mut rng).await;
+        spent += request(&routers[vm].quota, &mut rng).await;
         sleep(Duration::from_millis(50)).await;
     }
     let least = PREPAID * 97 / 100;
@@ -241,23 +241,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rights_of_a_stopped_router_are_free_at_once() {
+async fn quota_of_a_stopped_router_is_free_at_once() {
     let store = Arc::new(MemStore::new());
     let first = start(&store, 0, 1, 10_000);
     sleep(Duration::from_secs(2)).await;
-    assert!(first.book.grant.available() > 0);
+    assert!(first.quota.grant.available() > 0);
     first.claims.stop(Duration::from_secs(1)).await;
     let second = start(&store, 1, 2, 10_000);
     let usage = Usage {
         prompt: 10_000,
         output: 0,
     };
-    let spend = second.book.reserve(usage, Duration::from_secs(1)).await;
-    assert!(spend.is_ok(), "{spend:?}");
+    let reservation = second.quota.reserve(usage, Duration::from_secs(1)).await;
+    assert!(reservation.is_ok(), "{reservation:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_top_up_is_there_for_the_next_request() {
+async fn top_up_covers_the_next_request() {
     let store = Arc::new(MemStore::new());
     let router = start(&store, 0, 1, 1_000);
     let usage = Usage {
@@ -265,15 +265,15 @@
         output: 0,
     };
     let wait = Duration::from_millis(500);
-    assert!(router.book.reserve(usage, wait).await.is_err());
-    router.books.set_config(&config(Some(20_000)));
-    assert!(router.book.reserve(usage, wait).await.is_ok());
+    assert!(router.quota.reserve(usage, wait).await.is_err());
+    router.quotas.set_config(&config(Some(20_000)));
+    assert!(router.quota.reserve(usage, wait).await.is_ok());
 }
 
-/// A return whose append had no answer may still be done: until the feed has moved on, the
-/// returned rights must not be used again.
+/// An append without an answer may still succeed: until the feed has grown, quota that it returns
+/// must not be used again.
 #[tokio::test(start_paused = true)]
-async fn rights_of_a_return_without_an_answer_are_not_used_again() {
+async fn quota_returned_by_an_unconfirmed_append_is_not_used_again() {
     let wait = Duration::from_millis(500);
     let large = Usage {
         prompt: 60_000,
@@ -281,15 +281,15 @@
     };
     let store = Arc::new(MemStore::new());
     let first = start(&store, 0, 1, 100_000);
-    let idle = first.book.reserve(large, wait).await.expect("rights");
+    let idle = first.quota.reserve(large, wait).await.expect("quota");
     drop(idle);
 
     store.set_fault(StoreFault::Late);
     sleep(Duration::from_secs(2)).await;
     let mut spent = 0;
-    if let Ok(mut spend) = first.book.reserve(large, wait).await {
-        spend.deliver(0);
-        spent += spend.spent();
+    if let Ok(mut reservation) = first.quota.reserve(large, wait).await {
+        reservation.deliver(0);
+        spent += reservation.spent();
     }
     store.release();
     store.set_fault(StoreFault::None);
@@ -299,23 +299,23 @@
         prompt: 90_000,
         output: 0,
     };
-    // Which of the late appends is done depends on when the rounds fell; whoever lacks
-    // rights at first has them once the routers have talked about it.
+    // Which of the late appends succeeds depends on the timing of the rounds. A router without
+    // quota gets it once the routers have updated the account.
     for _attempt in 0..20 {
-        let Ok(mut spend) = second.book.reserve(rest, wait).await else {
+        let Ok(mut reservation) = second.quota.reserve(rest, wait).await else {
             continue;
         };
-        spend.deliver(0);
-        spent += spend.spent();
+        reservation.deliver(0);
+        spent += reservation.spent();
         break;
     }
     assert!(spent <= 100_000, "{spent} of 100000");
-    assert!(spent >= 60_000, "someone was served");
+    assert!(spent >= 60_000, "a request was served");
 }
 
-/// The time to come back differs: an outage lasts seconds, a busy account does not.
+/// Callers are told different times to retry: an outage lasts seconds, contention does not.
 #[tokio::test(start_paused = true)]
-async fn a_busy_account_is_not_taken_for_a_store_that_is_away() {
+async fn contended_account_is_not_taken_for_a_store_outage() {
     let store = Arc::new(MemStore::new());
     store.set_fault(StoreFault::Contended);
     let router = start(&store, 0, 1, 10_000);
@@ -324,9 +324,9 @@
         output: 0,
     };
     let wait = Duration::from_secs(5);
-    let refused = router.book.reserve(usage, wait).await;
+    let refused = router.quota.reserve(usage, wait).await;
     assert_eq!(refused.err(), Some(QuotaError::HeldElsewhere));
     store.set_fault(StoreFault::Away);
-    let refused = router.book.reserve(usage, wait).await;
+    let refused = router.quota.reserve(usage, wait).await;
     assert_eq!(refused.err(), Some(QuotaError::StoreUnavailable));
 }
--- a/crates/gateway/tests/testsuite/spread.rs
+++ b/crates/gateway/tests/testsuite/spread.rs
@@ -1,8 +1,9 @@
-//! How all routers come to know that a request is held, in fleets of 7, 75 and 300 VMs.
+//! How the quarantine of a request spreads to all routers, in fleets of 7, 75 and 300 VMs.
 //!
-//! The load: a deadly request comes back four times a second, to any router. Each end is seen by the
-//! router that had sent it. The store is silent throughout, a part of the VMs is gone for good and
-//! still listed, and some links carry nothing in one direction. Steps of a millisecond, no network.
+//! A query of death is retried four times a second, at any router. The router that sent it sees the
+//! crash that it causes. The store never answers, some VMs are permanently lost and still listed,
+//! and some links are cut in one direction. The simulation has steps of a millisecond and no
+//! network.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -16,36 +17,39 @@
 
 use crate::quarantine::print;
 
-/// Sends that are allowed after as many ends as show what a request does.
-const MORE: usize = 3;
-/// Time after the third end from which on sends count, the shortest of the users' sheets.
-const WINDOW: u64 = 3_000;
-/// Time of a message, and that after which a router counts as out of reach.
+/// Most crashes that are allowed after the request is identified as their cause.
+const MAX_LATE: usize = 3;
+/// Milliseconds after the third crash from which on crashes count: the shortest limit that users
+/// set.
+const GRACE: u64 = 3_000;
+/// Milliseconds that a message takes.
 const DELAY: u64 = 2;
-const SILENCE: u64 = 500;
-/// Time between two rounds of passing on.
-const PAUSE: u64 = 250;
-/// Time between two returns of the request.
-const RETURN: u64 = 250;
+/// Milliseconds after which a router counts as unreachable.
+const TIMEOUT: u64 = 500;
+/// Milliseconds between two gossip rounds.
+const GOSSIP_INTERVAL: u64 = 250;
+/// Milliseconds between two retries of the request.
+const RETRY_INTERVAL: u64 = 250;
 
-/// A message under way, by when it arrives.
-struct Mail {
+/// A message in transit.
+struct Message {
     to: usize,
-    ends: Vec<ServerEnd>,
+    crashes: Vec<ServerEnd>,
 }
 
 struct Fleet {
     cases: Vec<Cases>,
     is_up: Vec<bool>,
-    /// Links that carry nothing, in this direction.
+    /// Links that carry nothing in the direction from the first to the second router.
     cut: HashSet<(usize, usize)>,
     ranked: Vec<usize>,
-    mail: BTreeMap<u64, Vec<Mail>>,
+    /// Messages by the time at which they arrive.
+    in_transit: BTreeMap<u64, Vec<Message>>,
     rng: SmallRng,
 }
 
 impl Fleet {
-    fn new(count: usize, gone: f64, cut: f64, seed: u64) -> Self {
+    fn new(count: usize, lost: f64, cut: f64, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let vm = |number: usize| VmName::from(format!("vm-{number}").as_str());
         let domain = |number: usize| DomainName::from(format!("d-{}", number % 4).as_str());
@@ -59,27 +63,30 @@
         let cut = links.filter(|_| rng.random_bool(cut)).collect();
         Self {
             cases: (0..count).map(|_| Cases::default()).collect(),
-            is_up: (0..count).map(|_| !rng.random_bool(gone)).collect(),
+            is_up: (0..count).map(|_| !rng.random_bool(lost)).collect(),
             cut,
             ranked,
-            mail: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             rng,
         }
     }
 
-    /// A call and its answer need both directions.
+    /// Whether `from` can call `to`: a call and its answer need both directions.
     fn reaches(&self, from: usize, to: usize) -> bool {
         let is_cut = self.cut.contains(&(from, to)) || self.cut.contains(&(to, from));
         self.is_up[to] && !is_cut
     }
 
-    fn post(&mut self, at: u64, to: usize, ends: Vec<ServerEnd>) {
-        self.mail.entry(at).or_default().push(Mail { to, ends });
+    fn send(&mut self, at: u64, to: usize, crashes: Vec<ServerEnd>) {
+        self.in_transit
+            .entry(at)
+            .or_default()
+            .push(Message { to, crashes });
     }
 
-    /// A router tells observers, in the place of those that are silent the next ones, and hears
-    /// what the request is held for.
-    fn tell(&mut self, now: u64, from: usize, end: &ServerEnd) {
+    /// Sends a crash from a router to the observers, or to the next routers in place of those that
+    /// don't answer. Their answers contain the evidence against the requests that they hold.
+    fn report(&mut self, now: u64, from: usize, crash: &ServerEnd) {
         let is_small = self.cases.len() <= 17;
         let all: Vec<usize> = match is_small {
             true => (0..self.cases.len()).collect(),
@@ -91,9 +98,9 @@
         } else {
             OBSERVERS
         };
-        let (mut told, mut at) = (0, now + DELAY);
-        while told < wanted {
-            let next: Vec<usize> = candidates.by_ref().take(wanted - told).collect();
+        let (mut reached, mut at) = (0, now + DELAY);
+        while reached < wanted {
+            let next: Vec<usize> = candidates.by_ref().take(wanted - reached).collect();
             if next.is_empty() {
                 return;
             }
@@ -101,98 +108,104 @@
                 if !self.reaches(from, to) {
                     continue;
                 }
-                told += 1;
-                self.post(at, to, vec![end.clone()]);
+                reached += 1;
+                self.send(at, to, vec![crash.clone()]);
                 let proofs = self.cases[to].proofs();
                 if !proofs.is_empty() {
-                    self.post(at + DELAY, from, proofs);
+                    self.send(at + DELAY, from, proofs);
                 }
             }
-            at += SILENCE;
+            at += TIMEOUT;
         }
     }
 
-    fn pass_on(&mut self, now: u64, from: usize, held: &[Held]) {
-        let ends: Vec<ServerEnd> = held.iter().flat_map(Held::proofs).collect();
-        if ends.is_empty() || self.cases.len() <= 17 {
+    /// Gossips the evidence for newly held requests, in a large fleet.
+    fn gossip(&mut self, now: u64, from: usize, held: &[Held]) {
+        let crashes: Vec<ServerEnd> = held.iter().flat_map(Held::proofs).collect();
+        if crashes.is_empty() || self.cases.len() <= 17 {
             return;
         }
         let mut at = now + DELAY;
         for round in 0..u64::from(ROUNDS) {
-            at += PAUSE * round;
+            at += GOSSIP_INTERVAL * round;
             let others = (0..self.cases.len()).filter(|to| *to != from);
             for to in others.sample(&mut self.rng, PASSED_ON) {
                 if self.reaches(from, to) {
-                    self.post(at, to, ends.clone());
+                    self.send(at, to, crashes.clone());
                 }
             }
         }
     }
 
-    fn take(&mut self, now: u64, to: usize, ends: &[ServerEnd]) {
-        let held: Vec<Held> = ends
+    /// Delivers crashes to a router.
+    fn deliver(&mut self, now: u64, to: usize, crashes: &[ServerEnd]) {
+        let held: Vec<Held> = crashes
             .iter()
-            .flat_map(|end| self.cases[to].on_end(now, end).held)
+            .flat_map(|crash| self.cases[to].on_end(now, crash).held)
             .collect();
-        self.pass_on(now, to, &held);
+        self.gossip(now, to, &held);
     }
 
-    /// Plays two minutes; gives when servers ended, and the routers that hold the request then.
-    fn play(&mut self) -> (Vec<u64>, usize) {
+    /// Simulates two minutes; returns when servers crashed, and how many routers hold the request
+    /// at the end.
+    fn simulate(&mut self) -> (Vec<u64>, usize) {
         let up: Vec<usize> = (0..self.is_up.len())
             .filter(|one| self.is_up[*one])
             .collect();
-        let mut ends = Vec::new();
+        let mut crashes = Vec::new();
         for now in 1..120_000 {
-            for Mail { to, ends } in self.mail.remove(&now).unwrap_or_default() {
-                self.take(now, to, &ends);
+            for Message { to, crashes } in self.in_transit.remove(&now).unwrap_or_default() {
+                self.deliver(now, to, &crashes);
             }
-            if now % RETURN != 0 {
+            if now % RETRY_INTERVAL != 0 {
                 continue;
             }
             let router = up[self.rng.random_range(0..up.len())];
             if self.cases[router].rest(&print(7), now).is_some() {
                 continue;
             }
-            ends.push(now);
-            let end = ServerEnd {
+            crashes.push(now);
+            let crash = ServerEnd {
                 start: Start::from(ServerName::from(format!("i-{now}").as_str())),
                 at: now,
                 prints: HashSet::from([print(7)]),
                 seen_by: BTreeSet::from([VmName::from(format!("vm-{router}").as_str())]),
             };
-            self.take(now, router, std::slice::from_ref(&end));
-            self.tell(now, router, &end);
+            self.deliver(now, router, std::slice::from_ref(&crash));
+            self.report(now, router, &crash);
         }
         let holds = |one: &&usize| self.cases[**one].rest(&print(7), 120_000).is_some();
         let held = up.iter().filter(holds).count();
-        (ends, held)
+        (crashes, held)
     }
 }
 
 #[test]
-fn all_routers_of_a_whole_fleet_hold_it_after_three_ends() {
-    assert!(HOLD.as_millis() > 120_000, "a hold outlives the play");
+fn all_routers_of_an_intact_fleet_hold_it_after_three_crashes() {
+    assert!(HOLD.as_millis() > 120_000, "a hold outlasts the simulation");
     for count in [7, 75, 300] {
         for seed in 0..6 {
             let mut fleet = Fleet::new(count, 0.0, 0.0, seed);
-            let (ends, held) = fleet.play();
-            assert_eq!(ends.len(), ENDS, "{count} routers");
+            let (crashes, held) = fleet.simulate();
+            assert_eq!(crashes.len(), ENDS, "{count} routers");
             assert_eq!(held, count);
         }
     }
 }
 
-/// A third of the VMs is gone, and one link in ten is cut in one direction.
+/// A third of the VMs is lost, and one link in ten is cut in one direction.
 #[test]
-fn a_fleet_with_lost_vms_and_cut_links_stays_within_what_is_allowed() {
+fn fleet_with_lost_vms_and_cut_links_stays_within_the_limit() {
     for count in [7, 75, 300] {
         for seed in 0..6 {
             let mut fleet = Fleet::new(count, 0.33, 0.1, seed);
-            let (ends, _) = fleet.play();
-            let known = ends[ENDS - 1] + WINDOW;
-            let late = ends.iter().filter(|at| **at > known).count();
-            assert!(late <= MORE, "{count} routers, seed {seed}: {ends:?}");
+            let (crashes, _) = fleet.simulate();
+            let identified = crashes[ENDS - 1] + GRACE;
+            let late = crashes.iter().filter(|at| **at > identified).count();
+            assert!(
+                late <= MAX_LATE,
+                "{count} routers, seed {seed}: {crashes:?}"
+            );
         }
     }
 }
