--- a/crates/gateway/src/watch/tree.rs
+++ b/crates/gateway/src/watch/tree.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::copies::Upstreams;
-use crate::rights::holders::Member;
+use crate::quota::holders::Member;
 
 /// Largest fleet whose routers all read the store: so few cost less than what they would have to
 /// tell each other.
@@ -69,7 +69,7 @@
 /// The routers of each domain, the strongest first.
 fn domains(members: &[Member]) -> BTreeMap<(u64, &DomainName), Vec<&VmName>> {
     let mut sorted: Vec<&Member> = members.iter().collect();
-    sorted.sort_by_key(|member| (Reverse(member.strength), hash(&member.vm), &member.vm));
+    sorted.sort_by_key(|member| (Reverse(member.cpu_millis), hash(&member.vm), &member.vm));
     let mut domains: BTreeMap<(u64, &DomainName), Vec<&VmName>> = BTreeMap::new();
     for member in sorted {
         let key = (xxh3_64(member.domain.as_str().as_bytes()), &member.domain);
