--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -24,10 +24,10 @@
 
 use crate::catalog::ServerEntry;
 use crate::domains::Domains;
+use crate::eligibility::{Announcements, Eligibility};
 use crate::model::PoolSpec;
 use crate::rollout::{Lane, Mark};
 use crate::settings::RouterSettings;
-use crate::standing::{Standing, Words};
 
 pub use pools::Pools;
 use pools::Shared;
@@ -56,7 +56,7 @@
     fleet: Mutex<Fleet>,
     places: ArcSwap<HashMap<ServerName, Place>>,
     domains: Arc<Domains>,
-    words: Arc<Words>,
+    announcements: Arc<Announcements>,
     clock: Instant,
     /// Told when there is something that peers should know.
     changed: Arc<Notify>,
@@ -73,7 +73,7 @@
 struct Place {
     address: SocketAddr,
     version: VersionName,
-    standing: Standing,
+    eligibility: Eligibility,
 }
 
 /// A chosen server.
@@ -84,7 +84,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What decides whether requests may go there.
-    pub standing: Standing,
+    pub eligibility: Eligibility,
 }
 
 /// What a request asks of the server that it is sent to.
@@ -128,7 +128,7 @@
             fleet: Mutex::new(fleet),
             places: ArcSwap::default(),
             domains: Arc::clone(&shared.domains),
-            words: Arc::clone(&shared.words),
+            announcements: Arc::clone(&shared.announcements),
             clock: shared.clock,
             changed: Arc::clone(&shared.changed),
         }
@@ -213,12 +213,14 @@
             is_answered: false,
         };
         let Place {
-            address, standing, ..
+            address,
+            eligibility,
+            ..
         } = place?;
         let chosen = Chosen {
             start,
             address,
-            standing,
+            eligibility,
         };
         Some((chosen, ticket))
     }
@@ -232,7 +234,7 @@
         let places = self.places.load();
         let new = places.values().filter(|place| place.version == *version);
         let new = new
-            .filter(|place| !place.standing.word.is_leaving())
+            .filter(|place| !place.eligibility.announcement.is_draining())
             .count();
         let old = places.values().filter(|place| place.version != *version);
         (new, old.count())
@@ -292,7 +294,7 @@
 
     /// A server's answer says that it leaves.
     pub fn on_leaving(&self, idx: ServerIdx, server: &Chosen) {
-        if !server.standing.word.leave() {
+        if !server.eligibility.announcement.set_draining() {
             return;
         }
         event!(info, "server.leaving", server = server.start.name);
@@ -301,8 +303,8 @@
 
     /// A server's answer asks for so long a rest.
     pub fn on_rest(&self, idx: ServerIdx, server: &Chosen, time: Duration) {
-        let before = server.standing.word.rest_left();
-        server.standing.word.rest(time);
+        let before = server.eligibility.announcement.backoff_left();
+        server.eligibility.announcement.back_off(time);
         if before.is_zero() {
             let name = &server.start.name;
             event!(info, "server.resting", server = name, ms = time.as_millis());
@@ -329,22 +331,22 @@
         let now = self.now();
         let parts = self.lane.assign(entries, now);
         for (entry, part) in entries.iter().zip(parts) {
-            let word = self.words.of(&entry.start);
+            let announcement = self.announcements.of(&entry.start);
             specs.push(ServerSpec {
                 start: entry.start.clone(),
                 domain: entry.domain.clone(),
                 vm: None,
                 slots: entry.slots,
-                drain: entry.draining || word.is_leaving() || part == Part::Held,
+                drain: entry.draining || announcement.is_draining() || part == Part::Held,
                 is_trial: part == Part::Trial,
                 cold_until: cold_until(now, entry.warmup),
             });
             let place = Place {
                 address: entry.address,
                 version: entry.version.clone(),
-                standing: Standing {
+                eligibility: Eligibility {
                     domain: self.domains.get(&entry.domain),
-                    word,
+                    announcement,
                     gate: self.lane.gate(&entry.version),
                 },
             };
@@ -370,7 +372,7 @@
 /// Servers that asked for rest go on resting when their entries have come back.
 fn rest_on(fleet: &mut Fleet, places: &HashMap<ServerName, Place>, now: Micros) {
     for (name, place) in places {
-        let left = place.standing.word.rest_left();
+        let left = place.eligibility.announcement.backoff_left();
         if left.is_zero() {
             continue;
         }
--- a/crates/gateway/src/fleet/pools.rs
+++ b/crates/gateway/src/fleet/pools.rs
@@ -13,10 +13,10 @@
 use super::{Pool, retry_burst};
 use crate::catalog::ServerEntry;
 use crate::domains::Domains;
+use crate::eligibility::Announcements;
 use crate::model::Config;
-use crate::notes;
+use crate::server_updates;
 use crate::settings::RouterSettings;
-use crate::standing::Words;
 
 /// All pools.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// Told when there is something that peers should know.
     pub(super) changed: Arc<Notify>,
     pub(super) domains: Arc<Domains>,
-    pub(super) words: Arc<Words>,
+    pub(super) announcements: Arc<Announcements>,
     /// Routers of the fleet; 0 while they aren't known.
     pub(super) routers: AtomicUsize,
 }
@@ -61,7 +61,7 @@
                 clock: Instant::now(),
                 changed: Arc::default(),
                 domains: Arc::default(),
-                words: Arc::default(),
+                announcements: Arc::default(),
                 routers: AtomicUsize::new(0),
             },
         }
@@ -114,7 +114,7 @@
         for pool in self.pools.load().values() {
             pool.retries.set_burst(burst);
             let mut fleet = pool.fleet();
-            fleet.set_apart(routers <= notes::TOLD + 1);
+            fleet.set_apart(routers <= server_updates::MAX_PEERS + 1);
             fleet.set_routers(routers);
         }
     }
@@ -132,7 +132,7 @@
     /// Takes all servers that there are.
     pub fn set_servers(&self, entries: HashMap<ServerName, ServerEntry>) {
         let _changing = self.changing();
-        self.shared.words.prune();
+        self.shared.announcements.prune();
         let entries = Arc::new(entries);
         self.entries.store(Arc::clone(&entries));
         for (name, pool) in self.pools.load().iter() {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -26,10 +26,10 @@
 use tokio::time::{Instant, timeout};
 
 use crate::clock::Clock;
-use crate::notes;
 use crate::quarantine::ranking;
 use crate::rights::holders::Member;
 use crate::rights::{Calls, Witness};
+use crate::server_updates;
 use crate::sightings::{Sighting, Sightings};
 use crate::store::Feed;
 use crate::watch::{Heard, Others, Told, Upstreams, copies};
@@ -178,7 +178,7 @@
 
     /// Whether the fleet is so large that not every router is told everything.
     pub(crate) fn is_large(&self) -> bool {
-        lock(&self.members).len() > notes::TOLD
+        lock(&self.members).len() > server_updates::MAX_PEERS
     }
 
     /// The routers that are told of ends of servers, in this order: all others of a small fleet,
@@ -200,7 +200,7 @@
             .values()
             .map(|(member, _)| (member.vm.clone(), member.domain.clone()));
         let all = others.chain([(self.vm.clone(), self.domain.clone())]);
-        if members.len() <= notes::TOLD {
+        if members.len() <= server_updates::MAX_PEERS {
             return all.map(|(vm, _)| vm).collect();
         }
         ranking(all.collect())
@@ -334,7 +334,7 @@
         let mut vms = lock(&self.holders).clone();
         if vms.is_empty() {
             vms = self.all();
-            vms.truncate(notes::TOLD);
+            vms.truncate(server_updates::MAX_PEERS);
         }
         let asked = vms.iter().map(|vm| self.ask_seen(vm, process));
         let answers = join_all(asked).await;
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -82,7 +82,7 @@
         let own = Member {
             vm: settings.vm.clone(),
             domain: settings.domain.clone(),
-            strength: settings.strength,
+            strength: settings.cpu_millis,
         };
         let mut members = peers.members(own);
         members.sort_by(|one, other| one.vm.cmp(&other.vm));
@@ -105,6 +105,6 @@
             holders = holders.len(),
         );
         *lock(&peers.holders) = holders;
-        self.node.books.set_placement(placement);
+        self.node.quotas.set_placement(placement);
     }
 }
--- a/crates/gateway/src/peers/register.rs
+++ b/crates/gateway/src/peers/register.rs
@@ -46,7 +46,7 @@
         address: address.to_string(),
         domain: settings.domain.to_string(),
         started_ms: started,
-        strength: settings.strength,
+        strength: settings.cpu_millis,
     }
 }
 
--- a/crates/gateway/src/quarantine/breaks.rs
+++ b/crates/gateway/src/quarantine/breaks.rs
@@ -14,7 +14,7 @@
 
 use super::{Break, Quarantine, ServerEnd};
 use crate::fingerprint::Fingerprint;
-use crate::upstream::{self, Presence};
+use crate::upstream::{self, ListenerState};
 
 /// Servers whose end is remembered here, for sends that are found broken a little later.
 const ENDED_MAX: usize = 64;
@@ -64,7 +64,7 @@
 fn look_into(
     quarantine: &Quarantine,
     servers: &mut Servers,
-    asking: &mut JoinSet<(Start, Presence)>,
+    asking: &mut JoinSet<(Start, ListenerState)>,
     broken: &Break,
 ) {
     let start = &broken.server.start;
@@ -81,14 +81,14 @@
         .asked
         .insert(start.clone(), HashSet::from([broken.print]));
     let (endpoint, start) = (broken.into(), start.clone());
-    asking.spawn(async move { (start, upstream::ask(endpoint).await) });
+    asking.spawn(async move { (start, upstream::probe(endpoint).await) });
 }
 
-fn conclude(quarantine: &Quarantine, servers: &mut Servers, start: Start, presence: Presence) {
+fn conclude(quarantine: &Quarantine, servers: &mut Servers, start: Start, presence: ListenerState) {
     let Some(prints) = servers.asked.remove(&start) else {
         return;
     };
-    if presence != Presence::Gone {
+    if presence != ListenerState::Refused {
         return;
     }
     let now = quarantine.clock.steady();
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
-use crate::fingerprint::{Fingerprint, Origin};
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::fleet::Chosen;
 use crate::upstream::Endpoint;
 
@@ -103,11 +103,11 @@
 
     /// How much longer a request is held; `None` where it isn't.
     #[must_use]
-    pub fn rest(&self, origin: &Origin) -> Option<Duration> {
+    pub fn rest(&self, origin: &RequestIdentity) -> Option<Duration> {
         if self.held_len() == 0 {
             return None;
         }
-        lock(&self.cases).rest(&origin.print(), self.clock.steady())
+        lock(&self.cases).rest(&origin.fingerprint(), self.clock.steady())
     }
 
     /// Requests that are held, or were not long ago.
@@ -123,7 +123,7 @@
     }
 
     /// Resolves once a request is held.
-    pub(crate) async fn until_held(self: Arc<Self>, origin: Arc<Origin>) {
+    pub(crate) async fn until_held(self: Arc<Self>, origin: Arc<RequestIdentity>) {
         let mut holds = self.holds.subscribe();
         loop {
             if self.rest(&origin).is_some() {
@@ -136,7 +136,7 @@
     }
 
     /// A send to `server` broke off after bytes of the request had left.
-    pub(crate) fn on_break(&self, server: &Chosen, origin: &Origin) {
+    pub(crate) fn on_break(&self, server: &Chosen, origin: &RequestIdentity) {
         let mut breaks = lock(&self.breaks);
         if breaks.len() >= BREAKS_MAX {
             event!(warn, "quarantine.break_dropped", server = server.start.name);
@@ -144,18 +144,18 @@
         }
         breaks.push(Break {
             server: server.clone(),
-            print: origin.print(),
+            print: origin.fingerprint(),
         });
         drop(breaks);
         self.broken.notify_one();
     }
 
     /// A request ran to a good end.
-    pub(crate) fn on_served(&self, origin: &Origin) {
+    pub(crate) fn on_served(&self, origin: &RequestIdentity) {
         if !self.has_ends.load(Relaxed) {
             return;
         }
-        let print = origin.print();
+        let print = origin.fingerprint();
         if self.clear(print, self.clock.steady()) != Cleared::Nothing {
             self.pass_on_good_end(print);
         }
--- a/crates/gateway/src/rights/book/reserve.rs
+++ b/crates/gateway/src/rights/book/reserve.rs
@@ -30,7 +30,7 @@
             return Ok(spend);
         }
         let rest = self.rest();
-        if rest < usage.most() {
+        if rest < usage.max_total() {
             return Err(NoRights::Spent { rest });
         }
         if self.is_withdrawn() {
@@ -45,7 +45,7 @@
         usage: Usage,
         wait: Duration,
     ) -> Result<Spend, NoRights> {
-        let cost = usage.most();
+        let cost = usage.max_total();
         let until = Instant::now() + wait;
         self.grant.miss(cost);
         let _waiting = Waiting::enter(&self.waiting, cost);
@@ -84,7 +84,7 @@
 
     /// Reserves the most that `usage` can cost, if there are rights for it now.
     pub(crate) fn try_reserve(self: &Arc<Self>, usage: Usage) -> Option<Spend> {
-        let cost = usage.most();
+        let cost = usage.max_total();
         self.largest.fetch_max(cost, Relaxed);
         if self.grant.reserve(cost).is_none() {
             self.unlock_with(&mut self.moves());
--- a/crates/gateway/src/rights/remote.rs
+++ b/crates/gateway/src/rights/remote.rs
@@ -186,7 +186,7 @@
             }
         };
         reserved.map_err(|refusal| {
-            if let Some(back) = book.opens_in(usage.most()) {
+            if let Some(back) = book.opens_in(usage.max_total()) {
                 asked.note_back(back);
             }
             Missing {
@@ -303,7 +303,7 @@
         time: Duration,
         wait: Duration,
     ) -> Answer {
-        let tokens = usage.most();
+        let tokens = usage.max_total();
         let mut reservation = Reservation {
             remote: Arc::clone(self),
             vm: vm.clone(),
--- a/crates/gateway/src/rollout/lane.rs
+++ b/crates/gateway/src/rollout/lane.rs
@@ -8,7 +8,7 @@
 use swiftlink_types::{Micros, ServerName, VersionName};
 
 use crate::catalog::ServerEntry;
-use crate::standing::Gate;
+use crate::eligibility::Gate;
 
 /// Answers that a request's own is counted with.
 pub type Mark = Key;
--- a/crates/gateway/src/rollout/lead.rs
+++ b/crates/gateway/src/rollout/lead.rs
@@ -67,7 +67,7 @@
             node.reports
                 .with(&order.pool, order.number, |evidence, _| evidence.mark());
         }
-        let wall = node.books.clock().read().wall;
+        let wall = node.quotas.clock().read().wall;
         let started = progress.map_or(wall, |progress| progress.started);
         let situation = self.situation(
             node,
--- a/crates/gateway/src/rollout/tell.rs
+++ b/crates/gateway/src/rollout/tell.rs
@@ -52,7 +52,7 @@
                 continue;
             };
             is_running |= !stage.is_final();
-            let leaders = node.books.placement().first(pool.name.as_str(), LEADERS);
+            let leaders = node.quotas.placement().first(pool.name.as_str(), LEADERS);
             let report = pool.lane.report(pool.running_elsewhere(&order.version));
             if !stage.is_final() && told.get(&pool.name) != Some(&report) {
                 tell(&node, &peers, &pool, &order, &report, &leaders, &mut calls);
--- a/crates/gateway/src/watch/config.rs
+++ b/crates/gateway/src/watch/config.rs
@@ -37,7 +37,7 @@
             return;
         }
         self.node.pools.set_config(&config, &self.node.settings);
-        self.node.books.set_config(&config);
+        self.node.quotas.set_config(&config);
         event!(
             info,
             "config.in_force",
--- a/crates/gateway/src/watch/follow.rs
+++ b/crates/gateway/src/watch/follow.rs
@@ -252,7 +252,7 @@
 pub(super) fn take(news: News, reader: &Reader, follower: &mut impl Follow, relay: Option<&Relay>) {
     let told = follower.take(news);
     if let Some(relay) = relay {
-        relay.node.copies.keep(reader.feed(), &told);
+        relay.node.replicas.keep(reader.feed(), &told);
     }
 }
 
@@ -274,7 +274,7 @@
         end: reader.known(),
         ..News::default()
     };
-    relay.node.copies.keep(reader.feed(), &news);
+    relay.node.replicas.keep(reader.feed(), &news);
 }
 
 /// Whether the router mostly hears of feeds from others.
@@ -310,7 +310,7 @@
     if let (Some(relay), Some(upstreams)) = (relay, upstreams)
         && upstreams.is_followed
     {
-        return upstream::root_wait(relay.node.settings.apply).min(POLL);
+        return upstream::root_wait(relay.node.settings.config_apply).min(POLL);
     }
     match feed {
         Feed::Members(_)
--- a/crates/gateway/src/watch/upstream.rs
+++ b/crates/gateway/src/watch/upstream.rs
@@ -219,7 +219,7 @@
     } else {
         FRESH_PART
     };
-    relay.node.settings.apply / part
+    relay.node.settings.config_apply / part
 }
 
 /// For how long knowledge is fresh that others are told of.
--- a/crates/gateway/tests/testsuite/copies.rs
+++ b/crates/gateway/tests/testsuite/copies.rs
@@ -84,7 +84,7 @@
 #[async_trait]
 impl Others for Other {
     async fn tell(&self, feed: Feed, from: u64) -> Option<Told> {
-        Some(self.0.copies.since(feed, from))
+        Some(self.0.replicas.since(feed, from))
     }
 }
 
@@ -254,7 +254,7 @@
         pair.store.put(Feed::Servers, &format!("s{name}"), value);
     }
     sleep(HEARD).await;
-    let copies = &pair.nodes[0].copies;
+    let copies = &pair.nodes[0].replicas;
     let (mut from, mut parts) = (0, Vec::new());
     loop {
         let told = copies.since(Feed::Servers, from);
@@ -276,6 +276,6 @@
     let large = Bytes::from(vec![b'x'; 300_000]);
     pair.store.put(Feed::Config, "config", Some(large));
     sleep(HEARD).await;
-    let told = pair.nodes[0].copies.since(Feed::Config, 1);
+    let told = pair.nodes[0].replicas.since(Feed::Config, 1);
     assert_eq!(told, Told::default());
 }
--- a/crates/gateway/tests/testsuite/pools.rs
+++ b/crates/gateway/tests/testsuite/pools.rs
@@ -8,7 +8,7 @@
 use swiftlink_gateway::catalog::ServerEntry;
 use swiftlink_gateway::fleet::Pools;
 use swiftlink_gateway::model::{Config, PoolSpec};
-use swiftlink_gateway::{RetryTerms, RouterSettings};
+use swiftlink_gateway::{RetryLimits, RouterSettings};
 use swiftlink_types::{DomainName, PoolName, ServerName, Start, VmName};
 
 use crate::book;
@@ -23,20 +23,20 @@
         readiness: any,
         metrics: None,
         peers: any,
-        strength: 1_000,
+        cpu_millis: 1_000,
         link: None,
         bootstrap: false,
         workers: 1,
         connections: 10,
-        apply: Duration::from_secs(2),
+        config_apply: Duration::from_secs(2),
         grace: Duration::from_secs(1),
-        retries: RetryTerms {
+        retries: RetryLimits {
             ratio: 0.2,
             slack: 10.0,
             window: Duration::from_secs(10),
         },
         rollouts: None,
-        parts: 1,
+        partitions: 1,
     }
 }
 
--- a/crates/gateway/tests/testsuite/relay.rs
+++ b/crates/gateway/tests/testsuite/relay.rs
@@ -124,7 +124,7 @@
         }
         sleep(WAY).await;
         let node = &self.world.nodes[place];
-        let heard = node.copies.answer(&question, node.process, APPLY).await;
+        let heard = node.replicas.answer(&question, node.process, APPLY).await;
         sleep(WAY).await;
         self.world.heard.fetch_add(heard.told.records.len(), SeqCst);
         Some(heard)
@@ -141,7 +141,7 @@
         let node = |vm: usize| {
             let mut settings = crate::pools::settings();
             settings.vm = name(vm);
-            settings.apply = APPLY;
+            settings.config_apply = APPLY;
             let node = Node::new(settings, Arc::new(NoDialect));
             node.pools
                 .set_config(&crate::pools::config(), &node.settings);
--- a/crates/gateway/tests/testsuite/rollout.rs
+++ b/crates/gateway/tests/testsuite/rollout.rs
@@ -127,9 +127,9 @@
     go(&node, Stage::Shift);
     let (chosen, ticket) = pool.send(&Wish::default()).expect("a server");
     assert!(chosen.start.name.as_str().starts_with("v2"));
-    assert!(chosen.standing.bar().is_none());
+    assert!(chosen.eligibility.block_reason().is_none());
     go(&node, Stage::Reverted);
-    assert!(chosen.standing.bar().is_some());
+    assert!(chosen.eligibility.block_reason().is_some());
     drop(ticket);
     assert_eq!(sent(&pool).0, 0);
 }
--- a/crates/gateway/tests/testsuite/watch.rs
+++ b/crates/gateway/tests/testsuite/watch.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, StatusCode};
 use swiftlink_gateway::catalog::{CatalogError, ServerEntry};
-use swiftlink_gateway::dialect::{Ask, Order, Verdict};
+use swiftlink_gateway::dialect::{ForwardMeta, RequestMeta, ResponseKind};
 use swiftlink_gateway::store::{Feed, Late, MemStore, Page, Store, StoreError, StoreFault};
 use swiftlink_gateway::watch::{self, Directory, Listing, News, Others, Reader, Told};
 use swiftlink_types::{DomainName, PoolName, ServerName, Start};
@@ -259,11 +259,11 @@
         "id"
     }
 
-    fn ask(&self, _headers: &HeaderMap) -> Result<Ask, String> {
-        Ok(Ask::default())
+    fn parse_request(&self, _headers: &HeaderMap) -> Result<RequestMeta, String> {
+        Ok(RequestMeta::default())
     }
 
-    fn request_headers(&self, from: &HeaderMap, _order: &Order<'_>) -> HeaderMap {
+    fn request_headers(&self, from: &HeaderMap, _order: &ForwardMeta<'_>) -> HeaderMap {
         from.clone()
     }
 
@@ -271,20 +271,20 @@
         from.clone()
     }
 
-    fn verdict(
+    fn classify(
         &self,
         _id: Option<&HeaderValue>,
         _status: StatusCode,
         _head: &HeaderMap,
-    ) -> Verdict {
-        Verdict::Stray
+    ) -> ResponseKind {
+        ResponseKind::Mismatched
     }
 
     fn load(&self, _head: &HeaderMap) -> Option<swiftlink_routing::LoadReport> {
         None
     }
 
-    fn keep(&self, _head: &HeaderMap) -> Option<Duration> {
+    fn keep_alive(&self, _head: &HeaderMap) -> Option<Duration> {
         None
     }
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::past::PastRun;
 use crate::queue::Slot;
-use swiftlink_gateway::upstream::{Answer, SendError, send};
+use swiftlink_gateway::upstream::{PendingResponse, SendError, send};
 
 /// When to come back after a deadline that passed before an answer.
 const LATE_RETRY: Duration = Duration::from_secs(1);
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 pub struct Opened {
     /// The answer.
-    pub answer: Answer,
+    pub answer: PendingResponse,
     /// The server that gives it.
     pub target: Target,
 }
@@ -157,14 +157,14 @@
                 error @ (SendError::NotSent(_) | SendError::Unreachable | SendError::Withheld(_)),
             ) => {
                 attempt.recall();
-                let why = error.why();
+                let why = error.detail();
                 event!(debug, "dispatch.not-sent", server = target.name, why = why);
                 if let Some(kind) = error.kind() {
                     target.failed(kind);
                 }
             }
-            Err(error @ (SendError::Lost(_) | SendError::Silent)) => {
-                let why = error.why();
+            Err(error @ (SendError::Lost(_) | SendError::TimedOut)) => {
+                let why = error.detail();
                 event!(
                     info,
                     "dispatch.lost",
@@ -197,7 +197,7 @@
     call: &Call,
     attempt: &mut Attempt,
     target: Target,
-    answer: Answer,
+    answer: PendingResponse,
 ) -> Result<(), Refusal> {
     let status = answer.response.status();
     let (response, _lease) = answer.split();
--- a/crates/router/src/reader.rs
+++ b/crates/router/src/reader.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::engine;
-use swiftlink_gateway::upstream::{Answer, Lease, SendOptions, send};
+use swiftlink_gateway::upstream::{Lease, PendingResponse, SendOptions, send};
 
 /// First and largest pause between tries to resume.
 const RETRY_BASE: Duration = Duration::from_millis(10);
@@ -87,7 +87,12 @@
 impl Reader {
     /// Reads the answer that has begun to come, from chunk `from` on.
     #[must_use]
-    pub fn new(address: SocketAddr, answer: Answer, from: u64, options: ReadOptions) -> Self {
+    pub fn new(
+        address: SocketAddr,
+        answer: PendingResponse,
+        from: u64,
+        options: ReadOptions,
+    ) -> Self {
         let mut reader = Self::idle(address, None, from, options);
         let id = engine::stream_id(answer.response.headers());
         reader.stream = id;
@@ -254,7 +259,7 @@
         }
     }
 
-    fn attach(&mut self, answer: Answer) {
+    fn attach(&mut self, answer: PendingResponse) {
         let (response, lease) = answer.split();
         let body = BodyDataStream::new(response.into_body());
         self.events = Some(Box::new(body.eventsource()));
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -20,7 +20,7 @@
 use crate::reply::{Reply, ReplySender, pieces};
 use crate::serve::send;
 use crate::surface::{KEY, RELAY};
-use swiftlink_gateway::upstream::{Answer, SendError, send as send_http};
+use swiftlink_gateway::upstream::{PendingResponse, SendError, send as send_http};
 
 /// Peers that are asked for one request.
 const PEERS_MAX: usize = 2;
@@ -145,12 +145,17 @@
             Err(
                 error @ (SendError::NotSent(_) | SendError::Unreachable | SendError::Withheld(_)),
             ) => {
-                event!(debug, "relay.not-sent", peer = address, why = error.why());
+                event!(
+                    debug,
+                    "relay.not-sent",
+                    peer = address,
+                    why = error.detail()
+                );
                 self.node.peers.note_down(address);
                 return Tried::NotRun;
             }
-            Err(error @ (SendError::Lost(_) | SendError::Silent)) => {
-                let why = error.why().to_owned();
+            Err(error @ (SendError::Lost(_) | SendError::TimedOut)) => {
+                let why = error.detail().to_owned();
                 event!(info, "relay.lost", peer = address, why = why);
                 return Tried::Lost(why);
             }
@@ -167,7 +172,7 @@
     }
 
     /// Whether the peer has not run the request, and another may.
-    fn is_refused(self, answer: &Answer) -> bool {
+    fn is_refused(self, answer: &PendingResponse) -> bool {
         let outcome = answer.response.headers().get(OUTCOME_HEADER);
         if outcome.is_some_and(|outcome| outcome == Outcome::NotRun.as_str()) {
             return true;
@@ -203,7 +208,7 @@
 /// What became of a try.
 enum Tried {
     /// The peer answered, and the request may have run there.
-    Answered(Box<Answer>, Watched),
+    Answered(Box<PendingResponse>, Watched),
     /// The peer was not reached or did not run the request.
     NotRun,
     /// The peer was reached and its answer was lost.
@@ -222,7 +227,7 @@
 
 /// Passes the peer's answer on as it comes; a silent peer cuts it, and the caller can
 /// resume it at any router.
-async fn pass(answer: Box<Answer>, mut watched: Watched, reply: ReplySender) {
+async fn pass(answer: Box<PendingResponse>, mut watched: Watched, reply: ReplySender) {
     let (response, mut lease) = answer.split();
     let (parts, body) = response.into_parts();
     let headers = end_to_end(&parts.headers);
