--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The VM's clocks, read by the kernel's names.
+//! The VM's clocks, as the kernel provides them.
 //!
 //! Spending caps compare times of different processes of one VM, which
 //! [`std::time::Instant`] doesn't allow.
@@ -12,32 +12,33 @@
 use nix::time::{ClockId, clock_gettime};
 use swiftlink_telemetry::event;
 
-/// Drawn anew at each start of the kernel.
+/// Random identifier that the kernel generates at each boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// All clocks at one moment.
+/// The values of all clocks at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reading {
-    /// Name of the kernel's start; empty when it isn't known.
+    /// Boot id of the kernel; empty when it isn't known.
     pub boot: Arc<str>,
-    /// Steady time in milliseconds; comparable within one start of the kernel.
+    /// Steady time in milliseconds; comparable within one boot of the kernel.
     pub steady: u64,
-    /// Time of day in milliseconds since 1970; it may jump.
+    /// Wall-clock time in milliseconds since the Unix epoch; it may jump.
     pub wall: u64,
 }
 
-/// Where the time comes from.
+/// A source of time.
 pub trait Clock: fmt::Debug + Send + Sync {
-    /// Steady time in milliseconds. It is the same for all processes of the VM, and goes on
-    /// while none runs and while the VM is suspended.
+    /// Steady time in milliseconds. It is the same for all processes of the VM, and advances
+    /// while no process runs and while the VM is suspended.
     fn steady(&self) -> u64;
 
-    /// For how long the VM has been suspended since it started. The clock of timers and of
+    /// Total time that the VM has been suspended since it booted. The clock of timers and of
     /// [`std::time::Instant`] doesn't count that time.
     fn suspended(&self) -> Duration;
 
-    /// All clocks. A time of day that has jumped ahead since the clock was opened is told as
-    /// if it had not, so that the time from a reading to a later one isn't underestimated.
+    /// Reads all clocks. If the wall clock has jumped ahead since this clock was opened, the jump
+    /// is taken out of the result, so that the time from one reading to a later one isn't
+    /// underestimated.
     fn read(&self) -> Reading;
 }
 
@@ -45,13 +46,12 @@
 #[derive(Debug)]
 pub struct SystemClock {
     boot: Arc<str>,
-    /// The least by which the time of day was seen to be ahead of the steady clock, in
-    /// milliseconds.
-    ahead: AtomicI64,
+    /// Smallest difference seen between the wall clock and the steady clock, in milliseconds.
+    min_ahead: AtomicI64,
 }
 
 impl SystemClock {
-    /// Reads the name of the kernel's start.
+    /// Opens the clocks and reads the kernel's boot id.
     #[must_use]
     pub fn open() -> Self {
         let boot = match fs::read_to_string(BOOT_ID) {
@@ -63,15 +63,15 @@
         };
         Self {
             boot,
-            ahead: AtomicI64::new(i64::MAX),
+            min_ahead: AtomicI64::new(i64::MAX),
         }
     }
 }
 
-/// Steady time of the VM in milliseconds, as [`Clock::steady`] tells it.
+/// Steady time of the VM in milliseconds, see [`Clock::steady`].
 #[must_use]
 pub fn steady_millis() -> u64 {
-    // Rights, ages and idle times go on for all others while this VM is suspended.
+    // Quota, ages and idle times keep running for everyone else while this VM is suspended.
     kernel_time(ClockId::CLOCK_BOOTTIME).as_millis() as u64
 }
 
@@ -85,7 +85,7 @@
     }
 
     fn suspended(&self) -> Duration {
-        // In this order a moment between both readings counts for nothing.
+        // In this order, time that passes between the two readings isn't counted as suspended.
         let running = kernel_time(ClockId::CLOCK_BOOTTIME);
         running.saturating_sub(kernel_time(ClockId::CLOCK_MONOTONIC))
     }
@@ -95,11 +95,11 @@
         let wall = wall.map_or(0, |wall| wall.as_millis() as i64);
         let steady = self.steady();
         let ahead = wall - steady as i64;
-        let least = self.ahead.fetch_min(ahead, Relaxed).min(ahead);
+        let min_ahead = self.min_ahead.fetch_min(ahead, Relaxed).min(ahead);
         Reading {
             boot: Arc::clone(&self.boot),
             steady,
-            wall: u64::try_from(steady as i64 + least).unwrap_or(0),
+            wall: u64::try_from(steady as i64 + min_ahead).unwrap_or(0),
         }
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers of a deployment speak, on top of HTTP.
+//! The protocol that callers and backend servers of a deployment speak on top of HTTP.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use swiftlink_routing::LoadReport;
 use swiftlink_types::{ServerName, Tokens, WorkspaceName};
 
-/// What a caller says of its request.
+/// What the headers of a caller's request contain.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
-    /// Names the request; backend servers repeat it in their answers.
+pub struct RequestMeta {
+    /// Identifies the request; backend servers echo it in their responses.
     pub id: Option<HeaderValue>,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
-    /// What it may consume.
+    /// Upper bound of the tokens that the request may consume.
     pub usage: Option<Usage>,
-    /// Hash of the prompt's last part that other requests share; 0 without one.
+    /// Hash of the last prompt part that is shared with other requests; 0 without one.
     pub prefix: u64,
-    /// Tokens of the parts that other requests share.
+    /// Tokens of the prompt parts that are shared with other requests.
     pub shared: Tokens,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The event after which the answer goes on, if the caller has a part of it.
+    /// Id of the last event that the caller has, if it resumes a response.
     pub resume: Option<u64>,
 }
 
-impl Ask {
+impl RequestMeta {
     /// The request's id, for logs.
     #[must_use]
     pub fn id(&self) -> &str {
@@ -35,91 +35,96 @@
     }
 }
 
-/// What a request may consume, in tokens.
+/// Upper bounds of what a request may consume, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt: Tokens,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the response.
     pub output: Tokens,
 }
 
 impl Usage {
-    /// The most that the request can cost.
+    /// The maximum cost of the request, in tokens.
     #[must_use]
-    pub fn most(&self) -> Tokens {
+    pub fn max_total(&self) -> Tokens {
         self.prompt + self.output
     }
 }
 
-/// What the router adds to a request that it sends to a backend server.
+/// What the router adds to a request that it forwards to a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Order<'a> {
-    /// The server that is meant; another one at its address must refuse.
+pub struct ForwardMeta<'a> {
+    /// The intended server; another one at the same address must refuse the request.
     pub server: &'a ServerName,
     /// Workspace that is charged.
     pub workspace: Option<&'a WorkspaceName>,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has.
     pub resume: Option<u64>,
 }
 
-/// What the head of an answer says.
+/// What the head of a response says about the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The server says that it did not run the request: it is full or leaving.
+pub enum ResponseKind {
+    /// The server says that it did not run the request: it is full or draining.
     Shed,
     /// Another server has the address.
     Misdirected,
-    /// The answer belongs to another request, or isn't one of the server.
-    Stray,
-    /// The request ran, and this is its success.
+    /// The response belongs to another request, or doesn't come from a backend server.
+    Mismatched,
+    /// The request ran and succeeded.
     Served,
     /// The request ran and failed.
     Failed,
 }
 
-/// The words of a deployment.
+/// Reads and writes the headers of a deployment.
 pub trait Dialect: fmt::Debug + Send + Sync {
-    /// Header that names a request.
+    /// Header that carries the id of a request.
     fn id_header(&self) -> &str;
 
-    /// What the headers of a request say.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
-    /// What is wrong with them, for the caller.
-    fn ask(&self, headers: &HeaderMap) -> Result<Ask, String>;
+    /// When a header is malformed: a description for the caller.
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMeta, String>;
 
     /// Headers for a backend server, from those of the caller.
-    fn request_headers(&self, from: &HeaderMap, order: &Order<'_>) -> HeaderMap;
+    fn request_headers(&self, from: &HeaderMap, forward: &ForwardMeta<'_>) -> HeaderMap;
 
     /// Headers for the caller, from those of a backend server.
     fn response_headers(&self, from: &HeaderMap) -> HeaderMap;
 
-    /// What the head of an answer to the request `id` says.
-    fn verdict(&self, id: Option<&HeaderValue>, status: StatusCode, head: &HeaderMap) -> Verdict;
+    /// Classifies the response to the request `id` by its head.
+    fn classify(
+        &self,
+        id: Option<&HeaderValue>,
+        status: StatusCode,
+        head: &HeaderMap,
+    ) -> ResponseKind;
 
-    /// The server's load, where the answer tells it.
+    /// The server's load, if the response reports it.
     fn load(&self, head: &HeaderMap) -> Option<LoadReport>;
 
-    /// How much longer the server is cold, where the answer tells it.
+    /// Remaining time that the server stays cold, if the response reports it.
     fn warmup(&self, _head: &HeaderMap) -> Option<Duration> {
         None
     }
 
-    /// Whether the server says that it leaves.
-    fn is_leaving(&self, _head: &HeaderMap) -> bool {
+    /// Whether the server announces that it is draining.
+    fn is_draining(&self, _head: &HeaderMap) -> bool {
         false
     }
 
-    /// For how long the server wants nothing from this VM, where its refusal says so.
-    fn rest(&self, _status: StatusCode, _head: &HeaderMap) -> Option<Duration> {
+    /// How long this VM must send the server nothing, if its refusal asks for that.
+    fn backoff(&self, _status: StatusCode, _head: &HeaderMap) -> Option<Duration> {
         None
     }
 
-    /// How long the server keeps the connection of this answer when it is idle.
-    fn keep(&self, head: &HeaderMap) -> Option<Duration>;
+    /// How long the server keeps the connection of this response open while it is idle.
+    fn keep_alive(&self, head: &HeaderMap) -> Option<Duration>;
 }
--- /dev/null
+++ b/crates/gateway/src/eligibility.rs
@@ -0,0 +1,174 @@
+//! Whether a server may get requests now.
+//!
+//! Operators drain failure domains. A server announces in its responses that it is draining, or
+//! asks for backoff. An announcement holds until the server's next start, whatever its entry in
+//! the store says, also when the entry expires and comes back. All of it is checked twice: when a
+//! server is chosen, and again when the bytes of a request leave.
+
+use std::collections::HashMap;
+use std::fmt;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use swiftlink_types::Start;
+
+use crate::clock::steady_millis;
+use crate::domains::Domain;
+
+/// How long announcements of an unlisted server are retained: its entry may come back once the
+/// store does.
+const RETENTION: Duration = Duration::from_secs(600);
+
+/// Why a server may get no requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BlockReason {
+    /// Operators drained its failure domain.
+    Drained,
+    /// It announced that it is draining.
+    Draining,
+    /// It asked for backoff.
+    BackingOff,
+    /// Its version gets no requests, or no further ones.
+    VersionHeld,
+}
+
+impl BlockReason {
+    /// Description for logs and error messages.
+    #[must_use]
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Drained => "the failure domain is drained",
+            Self::Draining => "the server is draining",
+            Self::BackingOff => "the server asked for backoff",
+            Self::VersionHeld => "the server's version gets no requests",
+        }
+    }
+}
+
+impl fmt::Display for BlockReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// What a server instance has announced about itself.
+#[derive(Debug, Default)]
+pub struct Announcement {
+    is_draining: AtomicBool,
+    /// End of the backoff that it asked for, in milliseconds of the VM's steady clock.
+    backoff_until: AtomicU64,
+}
+
+impl Announcement {
+    /// Records that the server is draining. Returns whether that is new.
+    pub fn set_draining(&self) -> bool {
+        !self.is_draining.swap(true, SeqCst)
+    }
+
+    /// Starts a backoff of this length. A longer backoff that already runs stays in force.
+    pub fn back_off(&self, time: Duration) {
+        let until = steady_millis().saturating_add(time.as_millis() as u64);
+        self.backoff_until.fetch_max(until, SeqCst);
+    }
+
+    /// Whether the server is draining.
+    #[must_use]
+    pub fn is_draining(&self) -> bool {
+        self.is_draining.load(SeqCst)
+    }
+
+    /// Remaining time of the backoff; zero without one.
+    #[must_use]
+    pub fn backoff_left(&self) -> Duration {
+        let until = self.backoff_until.load(SeqCst);
+        Duration::from_millis(until.saturating_sub(steady_millis()))
+    }
+}
+
+/// Whether servers of a version get requests, shared by everything that sends to them.
+#[derive(Debug, Default)]
+pub struct Gate(AtomicBool);
+
+impl Gate {
+    /// Opens or closes the gate.
+    pub fn set_closed(&self, is_closed: bool) {
+        self.0.store(is_closed, SeqCst);
+    }
+
+    /// Whether the servers get no requests.
+    #[must_use]
+    pub fn is_closed(&self) -> bool {
+        self.0.load(SeqCst)
+    }
+}
+
+/// Decides whether requests may go to a server instance.
+#[derive(Clone, Debug)]
+pub struct Eligibility {
+    /// Failure domain of the server.
+    pub domain: Arc<Domain>,
+    /// What the server announced.
+    pub announcement: Arc<Announcement>,
+    /// Whether the server's version gets requests.
+    pub gate: Arc<Gate>,
+}
+
+impl Eligibility {
+    /// Eligibility of a server in `domain` that has announced nothing.
+    #[must_use]
+    pub fn new(domain: Arc<Domain>) -> Self {
+        Self {
+            domain,
+            announcement: Arc::default(),
+            gate: Arc::default(),
+        }
+    }
+
+    /// Why no request may go to the server now; `None` if one may.
+    #[must_use]
+    pub fn block_reason(&self) -> Option<BlockReason> {
+        if self.domain.is_emptied() {
+            return Some(BlockReason::Drained);
+        }
+        if self.gate.is_closed() {
+            return Some(BlockReason::VersionHeld);
+        }
+        if self.announcement.is_draining() {
+            return Some(BlockReason::Draining);
+        }
+        (!self.announcement.backoff_left().is_zero()).then_some(BlockReason::BackingOff)
+    }
+}
+
+#[derive(Debug)]
+struct Entry {
+    announcement: Arc<Announcement>,
+    /// When the server was listed last, in milliseconds of the VM's steady clock.
+    listed: u64,
+}
+
+/// The announcements of all server instances.
+#[derive(Debug, Default)]
+pub struct Announcements(Mutex<HashMap<Start, Entry>>);
+
+impl Announcements {
+    /// What a server instance that is listed now has announced.
+    #[must_use]
+    pub fn of(&self, instance: &Start) -> Arc<Announcement> {
+        let mut entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let entry = entries.entry(instance.clone()).or_insert_with(|| Entry {
+            announcement: Arc::default(),
+            listed: 0,
+        });
+        entry.listed = steady_millis();
+        Arc::clone(&entry.announcement)
+    }
+
+    /// Removes instances that haven't been listed for the retention time.
+    pub fn prune(&self) {
+        let oldest = steady_millis().saturating_sub(RETENTION.as_millis() as u64);
+        let mut entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        entries.retain(|_, entry| entry.listed >= oldest);
+    }
+}
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Tells whether two requests are the same one, sent again.
+//! Identifies requests that their callers send again.
 
 use std::fmt;
 use std::sync::OnceLock;
@@ -8,22 +8,23 @@
 use sha2::{Digest, Sha256};
 use swiftlink_types::WorkspaceName;
 
-/// Bytes of a fingerprint.
+/// Length of a fingerprint in bytes.
 pub const LEN: usize = 16;
 
-/// What a caller's attempts for the same thing have in common: method, host, path, workspace and
-/// body. Nobody can make a request that has the fingerprint of another workspace's.
+/// Hash of what all attempts of a caller at one request have in common: method, host, path,
+/// workspace and body. A workspace can't make a request that has the fingerprint of another
+/// workspace's request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; LEN]);
 
-/// What a fingerprint is made from.
+/// The parts of a request that its fingerprint covers.
 #[derive(Debug)]
 pub struct Content {
     /// Workspace that is charged; `None` on a public route without a key.
     pub workspace: Option<WorkspaceName>,
     /// Method of the request.
     pub method: Method,
-    /// Host that the caller named.
+    /// The `Host` header.
     pub host: String,
     /// Path and query.
     pub uri: Uri,
@@ -31,40 +32,43 @@
     pub body: Bytes,
 }
 
-/// What a request is known by when its caller sends it again. The fingerprint is worked out when
-/// it is asked for: most requests never need it.
+/// Identity of a request across retries by its caller. The fingerprint is computed on first use,
+/// since most requests never need it.
 #[derive(Debug)]
-pub struct Origin {
+pub struct RequestIdentity {
     content: Content,
-    print: OnceLock<Fingerprint>,
+    fingerprint: OnceLock<Fingerprint>,
 }
 
-impl Origin {
-    /// The origin of a request.
+impl RequestIdentity {
+    /// The identity of a request with this content.
     #[must_use]
     pub fn new(content: Content) -> Self {
         Self {
             content,
-            print: OnceLock::new(),
+            fingerprint: OnceLock::new(),
         }
     }
 
-    /// Its fingerprint.
+    /// The request's fingerprint.
     #[must_use]
-    pub fn print(&self) -> Fingerprint {
-        *self.print.get_or_init(|| Fingerprint::of(&self.content))
+    pub fn fingerprint(&self) -> Fingerprint {
+        *self
+            .fingerprint
+            .get_or_init(|| Fingerprint::of(&self.content))
     }
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(content: &Content) -> Self {
         let path = content.uri.path_and_query();
         let path = path.map_or("/", |path| path.as_str());
         let workspace = content.workspace.as_ref().map_or("", WorkspaceName::as_str);
         let mut hash = Sha256::new();
-        // Each part with its length: what ends one can't begin the next.
+        // Each part is prefixed with its length, so that bytes can't move from the end of one part
+        // to the start of the next without changing the hash.
         let parts = [workspace, content.method.as_str(), &content.host, path];
         for part in parts
             .map(str::as_bytes)
@@ -80,14 +84,14 @@
         Self(bytes)
     }
 
-    /// Its bytes, for other routers.
+    /// The fingerprint's bytes, for other routers.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 }
 
-/// From bytes that another router told.
+/// Reads a fingerprint that another router sent.
 impl TryFrom<&[u8]> for Fingerprint {
     type Error = std::array::TryFromSliceError;
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of a running router share.
+//! The state that the parts of a running router share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
@@ -20,46 +20,46 @@
 use crate::sightings::Sightings;
 use crate::watch::Copies;
 
-/// State that requests read, and the tasks that keep it up to date write.
+/// State that requests read and background tasks keep up to date.
 #[derive(Debug)]
 pub struct Node {
-    /// What the router was told at its start.
+    /// Settings that the router was started with.
     pub settings: RouterSettings,
-    /// What callers and backend servers speak.
+    /// Protocol of callers and backend servers.
     pub dialect: Arc<dyn Dialect>,
-    /// The configuration in force; `None` until one was read.
+    /// The configuration in force; `None` until one has been read.
     pub config: ArcSwapOption<Config>,
-    /// How old that knowledge is.
+    /// Age of what is known of the configuration.
     pub freshness: Freshness,
-    /// What was read of the configuration and of the servers' entries.
-    pub copies: Copies,
-    /// The backend servers.
+    /// Records of the configuration and of the servers' entries, as last read.
+    pub replicas: Copies,
+    /// Pools of backend servers.
     pub pools: Arc<Pools>,
-    /// Rights of the workspaces.
-    pub books: Arc<Books>,
-    /// Requests that are kept away from the servers.
+    /// Local quota of the workspaces.
+    pub quotas: Arc<Books>,
+    /// Requests that are kept away from the backend servers.
     pub quarantine: Arc<Quarantine>,
-    /// What other routers told of roll-outs that this one may lead.
+    /// Reports of other routers on rollouts that this one may coordinate.
     pub reports: Reports,
-    /// When other processes were last seen.
-    pub sightings: Arc<Sightings>,
-    /// Tells this process from others on its VM.
+    /// Last known steady clocks of other processes.
+    pub peer_clocks: Arc<Sightings>,
+    /// Random identifier that distinguishes this process from others on its VM.
     pub process: u64,
-    /// What the router counts.
+    /// Counters and histograms of the router.
     pub metrics: Metrics,
-    /// What passed over the VM's link lately.
+    /// Recent traffic over the VM's network link.
     pub traffic: Traffic,
-    /// Whether the VM's link has no room for more callers.
-    pub is_full: AtomicBool,
-    /// Whether the directory of backend servers was read.
+    /// Whether the VM's link has no capacity for more callers.
+    pub is_link_full: AtomicBool,
+    /// Whether the directory of backend servers has been read.
     pub has_servers: AtomicBool,
-    /// Whether the router was told to stop.
+    /// Whether the router is shutting down.
     pub is_stopping: AtomicBool,
     in_flight: AtomicUsize,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// A node without a configuration or servers.
     #[must_use]
     pub fn new(settings: RouterSettings, dialect: Arc<dyn Dialect>) -> Self {
         let placement = Placement::unknown(settings.vm.clone());
@@ -70,47 +70,48 @@
                 Arc::clone(&clock) as _,
             )),
             freshness: Freshness::new(Arc::clone(&clock) as _),
-            books: Arc::new(
-                Books::new(placement, settings.parts, clock).with_members(settings.members_parts()),
+            quotas: Arc::new(
+                Books::new(placement, settings.partitions, clock)
+                    .with_members(settings.member_partitions()),
             ),
             settings,
             dialect,
             config: ArcSwapOption::empty(),
-            copies: Copies::default(),
+            replicas: Copies::default(),
             pools: Arc::new(Pools::new()),
             reports: Reports::default(),
-            sightings: Arc::default(),
+            peer_clocks: Arc::default(),
             process: rand::random(),
             metrics: Metrics::new(),
             traffic: Traffic::default(),
-            is_full: AtomicBool::new(false),
+            is_link_full: AtomicBool::new(false),
             has_servers: AtomicBool::new(false),
             is_stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
         }
     }
 
-    /// Whether new connections should come here.
+    /// Whether this router should get new connections.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let knows = self.knows_config() && self.has_servers.load(Relaxed);
-        knows && !self.is_stopping.load(Relaxed) && !self.is_full.load(Relaxed)
+        let is_synced = self.knows_config() && self.has_servers.load(Relaxed);
+        is_synced && !self.is_stopping.load(Relaxed) && !self.is_link_full.load(Relaxed)
     }
 
-    /// Whether a configuration is in force, and all that the store had beside it was told once:
-    /// which failure domains are emptied stands there too.
+    /// Whether a configuration is in force and everything that the store had with it has been read
+    /// once, which includes the drained failure domains.
     #[must_use]
     pub fn knows_config(&self) -> bool {
         self.config.load().is_some() && self.freshness.is_confirmed()
     }
 
-    /// Requests that are being served.
+    /// Number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Relaxed)
     }
 
-    /// Counts a request as being served while the guard lives.
+    /// Counts a request as in flight until the guard is dropped.
     #[must_use]
     pub fn enter(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Relaxed);
@@ -118,7 +119,7 @@
     }
 }
 
-/// A request that is being served.
+/// Guard of a request in flight.
 #[derive(Debug)]
 pub struct InFlight(Arc<Node>);
 
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What this router answers to its peers.
+//! Handles requests from other routers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -13,13 +13,13 @@
 };
 
 use crate::node::Node;
-use crate::notes;
 use crate::quarantine::tell;
 use crate::rights::Reservations;
 use crate::rollout;
+use crate::server_updates;
 use crate::watch::copies;
 
-/// Answers other routers.
+/// Serves the requests of peers from this router's state.
 #[derive(Debug)]
 pub(crate) struct PeerHandler {
     pub(crate) node: Arc<Node>,
@@ -28,39 +28,40 @@
 
 impl PeerHandler {
     fn steady(&self) -> u64 {
-        self.node.books.clock().steady()
+        self.node.quotas.clock().steady()
     }
 
-    fn noted(&self) -> reply::Kind {
+    fn acknowledge(&self) -> reply::Kind {
         reply::Kind::Noted(Noted {
             process: self.node.process,
             steady_ms: self.steady(),
         })
     }
 
-    /// A router that stops gives its rights back soon: others grant.
-    async fn reserve(&self, ask: &Reserve) -> Reserved {
+    /// Reserves quota for a peer. A stopping router refuses, since it returns its quota soon:
+    /// other routers grant.
+    async fn reserve(&self, request: &Reserve) -> Reserved {
         if self.node.is_stopping.load(Relaxed) {
             return Reserved {
                 refusal: Refusal::Elsewhere.into(),
                 ..Reserved::default()
             };
         }
-        self.reservations.reserve(&self.node.books, ask).await
+        self.reservations.reserve(&self.node.quotas, request).await
     }
 
-    async fn answer_reserve(&self, ask: &Reserve, replies: &Replies) {
-        let mut reserved = self.reserve(ask).await;
+    async fn reply_reserve(&self, request: &Reserve, replies: &Replies) {
+        let mut reserved = self.reserve(request).await;
         reserved.process = self.node.process;
         reserved.steady_ms = self.steady();
         let kind = reply::Kind::Reserved(reserved);
         if replies.send(kind, true).await.is_err() {
-            // The asker has given up; it will not use what was set aside.
+            // The peer has given up and will not use the reservation.
             let ended = Ended {
-                number: ask.number,
+                number: request.number,
                 spent: 0,
             };
-            self.reservations.release(ask.process, &[ended]);
+            self.reservations.release(request.process, &[ended]);
         }
     }
 
@@ -72,13 +73,13 @@
         }
     }
 
-    async fn tell_feed(&self, ask: &GetFeed) -> FeedRecords {
-        let apply = self.node.settings.apply;
-        let heard = self.node.copies.answer(ask, self.node.process, apply);
-        copies::message(heard.await)
+    async fn feed_records(&self, request: &GetFeed) -> FeedRecords {
+        let apply = self.node.settings.config_apply;
+        let answer = self.node.replicas.answer(request, self.node.process, apply);
+        copies::message(answer.await)
     }
 
-    fn take_tally(&self, tally: &Tally) {
+    fn record_tally(&self, tally: &Tally) {
         let pool = PoolName::from(tally.pool.as_str());
         let report = rollout::read_report(tally);
         self.node
@@ -86,8 +87,8 @@
             .take(&pool, tally.order, tally.process, report);
     }
 
-    fn seen(&self, process: u64) -> Seen {
-        let Some(sighting) = self.node.sightings.get(process) else {
+    fn last_seen(&self, process: u64) -> Seen {
+        let Some(sighting) = self.node.peer_clocks.get(process) else {
             return Seen::default();
         };
         Seen {
@@ -101,23 +102,23 @@
 impl Handler for PeerHandler {
     async fn handle(&self, peer: &str, request: request::Kind, replies: Replies) {
         let kind = match request {
-            request::Kind::Notes(notes) => {
-                notes::take(&self.node.pools, peer, notes);
-                self.noted()
+            request::Kind::Notes(updates) => {
+                server_updates::apply(&self.node.pools, peer, updates);
+                self.acknowledge()
             }
             request::Kind::Ends(ends) => match tell::answer(&self.node.quarantine, peer, &ends) {
                 Some(known) => reply::Kind::Ends(known),
-                None => self.noted(),
+                None => self.acknowledge(),
             },
             request::Kind::Tally(tally) => {
-                self.take_tally(&tally);
-                self.noted()
+                self.record_tally(&tally);
+                self.acknowledge()
             }
-            request::Kind::GetSeen(ask) => reply::Kind::Seen(self.seen(ask.process)),
-            request::Kind::GetFeed(ask) => {
-                reply::Kind::FeedRecords(self.tell_feed(&ask).await)
+            request::Kind::GetSeen(get) => reply::Kind::Seen(self.last_seen(get.process)),
+            request::Kind::GetFeed(request) => {
+                reply::Kind::FeedRecords(self.feed_records(&request).await)
             }
-            request::Kind::Reserve(ask) => return self.answer_reserve(&ask, &replies).await,
+            request::Kind::Reserve(request) => return self.reply_reserve(&request, &replies).await,
             request::Kind::Release(release) => reply::Kind::Released(self.release(&release)),
             _ => reply::Kind::Failure(Failure {
                 kind: FailureKind::Unspecified.into(),
@@ -127,7 +128,7 @@
             }),
         };
         if replies.send(kind, true).await.is_err() {
-            event!(info, "peer.answer_lost", peer = peer);
+            event!(info, "peer.reply_lost", peer = peer);
         }
     }
 }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! What the balancer hears when it asks whether the router is ready.
+//! Readiness endpoint for the load balancer.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -12,7 +12,7 @@
 use crate::headroom::{Headroom, SAMPLE};
 use crate::node::Node;
 
-/// Answers the balancer.
+/// Answers readiness probes of the load balancer.
 pub(crate) struct Readiness(pub(crate) Arc<Node>);
 
 #[async_trait(?Send)]
@@ -25,22 +25,23 @@
     }
 }
 
-/// Keeps up whether the VM's link, which carries `rate` bytes a second each way, has room for
-/// more callers, and closes their `gate` while it is over, until the task is aborted.
+/// Tracks whether the VM's link, which carries `rate` bytes per second each way, has capacity for
+/// more callers, and closes the callers' `gate` while the link is overloaded. Runs until the task
+/// is aborted.
 pub(crate) async fn watch_link(node: Arc<Node>, gate: Arc<Gate>, rate: u64) {
     let mut headroom = Headroom::new(rate);
-    let mut looks = interval_at(Instant::now() + SAMPLE, SAMPLE);
+    let mut ticks = interval_at(Instant::now() + SAMPLE, SAMPLE);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         if !headroom.look(node.traffic.take()) {
             continue;
         }
         let is_full = headroom.is_full();
-        node.is_full.store(is_full, Relaxed);
+        node.is_link_full.store(is_full, Relaxed);
         gate.set(!headroom.is_over());
         event!(
             info,
-            "link.room",
+            "link.headroom",
             full = is_full,
             refusing = headroom.is_over(),
             used = format_args!("{:.2}", headroom.used()),
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -1,4 +1,4 @@
-//! A running router process.
+//! Starts a router and holds its running parts.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -12,43 +12,43 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::answer::PeerHandler;
 use crate::catalog::Catalog;
 use crate::dialect::Dialect;
-use crate::metrics::{Counted, Exposition};
+use crate::metrics::{MeteredStore, MetricsService};
 use crate::node::Node;
+use crate::peer_handler::PeerHandler;
 use crate::peers::{self, Peers};
 use crate::quarantine::{self, tell};
 use crate::ready::{self, Readiness};
 use crate::rights::{Calls, Claims, Remote, Reservations};
-use crate::serve::Surface;
+use crate::serve::CallerService;
 use crate::settings::RouterSettings;
 use crate::store::{Feed, Store};
 use crate::watch::Others;
-use crate::{notes, rollout, stop, watch};
+use crate::{rollout, server_updates, stop, watch};
 
 /// How long a connection may be idle. Callers reuse connections for up to four fifths of
 /// the limit in the configuration.
-const IDLE: Duration = Duration::from_secs(90);
-/// How long the head of a request may take.
-const HEAD: Duration = Duration::from_secs(10);
-/// How often reservations that should have been released are looked for.
-const EXPIRE_PERIOD: Duration = Duration::from_secs(5);
-/// How long a caller may take no data.
-const STALL: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// How long reading the head of a request may take.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time between two searches for reservations that should have been released.
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a caller may accept no data before its connection is closed.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a deployment brings.
+/// What a deployment provides.
 #[derive(Clone, Debug)]
 pub struct Adapter {
-    /// What callers and backend servers speak.
+    /// Protocol of callers and backend servers.
     pub dialect: Arc<dyn Dialect>,
-    /// Where what must last lives.
+    /// Storage of durable records.
     pub store: Arc<dyn Store>,
-    /// How it is written down there.
+    /// Encoding of the records in the store.
     pub catalog: Arc<dyn Catalog>,
 }
 
-/// A router while it runs.
+/// A running router.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) node: Arc<Node>,
@@ -56,11 +56,11 @@
     pub(crate) readiness: WebServer,
     pub(crate) metrics: Option<WebServer>,
     pub(crate) claims: Claims,
-    pub(crate) remote: Arc<Remote>,
+    pub(crate) reserver: Arc<Remote>,
     pub(crate) tasks: JoinSet<()>,
 }
 
-/// Runs a router until its shell is told to stop.
+/// Runs a router until its shell is stopped.
 ///
 /// # Errors
 /// When an address can't be bound.
@@ -79,7 +79,7 @@
 }
 
 impl Router {
-    /// Binds the addresses and starts everything.
+    /// Binds the addresses and starts all tasks.
     ///
     /// # Errors
     /// When an address can't be bound.
@@ -90,7 +90,7 @@
             .with_context(|| format!("binding the readiness address {}", settings.readiness))?;
         let limits = limits(&settings);
         let node = Arc::new(Node::new(settings, adapter.dialect));
-        let store: Arc<dyn Store> = Arc::new(Counted {
+        let store: Arc<dyn Store> = Arc::new(MeteredStore {
             store: adapter.store,
             node: Arc::clone(&node),
         });
@@ -99,10 +99,10 @@
             Peers::new(
                 node.settings.vm.clone(),
                 node.settings.domain.clone(),
-                Arc::clone(node.books.clock()),
-                Arc::clone(&node.sightings),
+                Arc::clone(node.quotas.clock()),
+                Arc::clone(&node.peer_clocks),
             )
-            .with_parts(node.settings.members_parts(), node.settings.bootstrap),
+            .with_parts(node.settings.member_partitions(), node.settings.bootstrap),
         );
         let others = Arc::clone(&peers) as Arc<dyn Others>;
         watch::spawn(&mut tasks, &node, &store, &adapter.catalog, &others);
@@ -110,7 +110,11 @@
         if node.settings.rollouts.is_some() {
             let reader = watch::Reader::new(Feed::Rollouts, Arc::clone(&store));
             let follower = rollout::Follower::new(Arc::clone(&node));
-            tasks.spawn(watch::follow(reader, follower, Some(relay(&node, &peers))));
+            tasks.spawn(watch::follow(
+                reader,
+                follower,
+                Some(feed_relay(&node, &peers)),
+            ));
             tasks.spawn(rollout::run(
                 Arc::clone(&node),
                 Arc::clone(&peers),
@@ -119,16 +123,16 @@
             ));
         }
         let calls = Arc::clone(&peers) as Arc<dyn Calls>;
-        let remote = Remote::new(Arc::clone(&node.books), calls, node.process);
-        tasks.spawn(Arc::clone(&remote).run());
+        let reserver = Remote::new(Arc::clone(&node.quotas), calls, node.process);
+        tasks.spawn(Arc::clone(&reserver).run());
         let vm = &node.settings.vm;
-        let claims = Claims::spawn(&node.books, &store, peers, vm, node.process);
-        let surface = Arc::new(Surface {
+        let claims = Claims::spawn(&node.quotas, &store, peers, vm, node.process);
+        let service = Arc::new(CallerService {
             node: Arc::clone(&node),
-            remote: Arc::clone(&remote),
+            reserver: Arc::clone(&reserver),
         });
         let callers =
-            WebServer::bind(callers, limits, surface).context("starting the callers' listener")?;
+            WebServer::bind(callers, limits, service).context("starting the callers' listener")?;
         if let Some(rate) = node.settings.link {
             tasks.spawn(ready::watch_link(Arc::clone(&node), callers.gate(), rate));
         }
@@ -147,50 +151,50 @@
             readiness,
             metrics,
             claims,
-            remote,
+            reserver,
             tasks,
         })
     }
 
-    /// Where callers connect, as bound.
+    /// Bound address for callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where the balancer asks, as bound.
+    /// Bound address for readiness probes.
     #[must_use]
     pub fn readiness(&self) -> SocketAddr {
         self.readiness.address()
     }
 
-    /// Where metrics are served, as bound.
+    /// Bound address of the metrics endpoint.
     #[must_use]
     pub fn metrics(&self) -> Option<SocketAddr> {
         self.metrics.as_ref().map(WebServer::address)
     }
 
-    /// What its parts share.
+    /// The state that the parts of the router share.
     #[must_use]
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// Stops in an orderly way, within the grace of the settings.
+    /// Shuts down gracefully, within the grace period of the settings.
     pub async fn stop(self) {
         stop::stop(self).await;
     }
 }
 
-/// Where feeds are kept for others, and who may tell this router of them.
-fn relay(node: &Arc<Node>, peers: &Arc<Peers>) -> watch::Relay {
+/// Relays feeds between this router and its peers.
+fn feed_relay(node: &Arc<Node>, peers: &Arc<Peers>) -> watch::Relay {
     watch::Relay {
         node: Arc::clone(node),
         others: Arc::clone(peers) as Arc<dyn Others>,
     }
 }
 
-/// Starts the listener for metrics, where the settings have an address for it.
+/// Starts the metrics endpoint if the settings have an address for it.
 fn bind_metrics(node: &Arc<Node>) -> anyhow::Result<Option<WebServer>> {
     let Some(address) = node.settings.metrics else {
         return Ok(None);
@@ -202,13 +206,13 @@
         connections: 16,
         ..Limits::default()
     };
-    let service = Arc::new(Exposition(Arc::clone(node)));
+    let service = Arc::new(MetricsService(Arc::clone(node)));
     WebServer::bind(listener, limits, service)
         .context("starting the metrics listener")
         .map(Some)
 }
 
-/// Starts what finds other routers, tells them of this one and answers them.
+/// Starts the tasks that discover other routers, register this one and serve the peers' requests.
 fn spawn_peers(
     tasks: &mut JoinSet<()>,
     node: &Arc<Node>,
@@ -221,33 +225,37 @@
     let address = listener
         .local_addr()
         .context("reading the address that other routers reach")?;
-    let started = node.books.clock().read().wall;
+    let started = node.quotas.clock().read().wall;
     let member = peers::member(settings, address, node.process, started);
-    let registered = peers::register(
+    let register = peers::register(
         Arc::clone(store),
         Arc::clone(peers),
-        settings.members_part(&settings.domain),
+        settings.member_partition(&settings.domain),
         settings.vm.clone(),
         member,
     );
-    tasks.spawn(registered);
-    for part in settings.members_parts() {
-        let reader = watch::Reader::new(Feed::Members(part), Arc::clone(store));
-        let follower = peers::Follower::new(peers, node, part);
-        tasks.spawn(watch::follow(reader, follower, Some(relay(node, peers))));
+    tasks.spawn(register);
+    for partition in settings.member_partitions() {
+        let reader = watch::Reader::new(Feed::Members(partition), Arc::clone(store));
+        let follower = peers::Follower::new(peers, node, partition);
+        tasks.spawn(watch::follow(
+            reader,
+            follower,
+            Some(feed_relay(node, peers)),
+        ));
     }
-    tasks.spawn(notes::run(Arc::clone(node), Arc::clone(peers)));
+    tasks.spawn(server_updates::run(Arc::clone(node), Arc::clone(peers)));
     let quarantine = &node.quarantine;
     tasks.spawn(quarantine::watch_breaks(Arc::clone(quarantine)));
-    let told = tell::run(
+    let gossip = tell::run(
         Arc::clone(quarantine),
         Arc::clone(peers),
         Arc::clone(store),
-        settings.members_part(&settings.domain),
+        settings.member_partition(&settings.domain),
     );
-    tasks.spawn(told);
+    tasks.spawn(gossip);
     let reservations = Arc::new(Reservations::default());
-    tasks.spawn(expire(Arc::clone(&reservations)));
+    tasks.spawn(expire_reservations(Arc::clone(&reservations)));
     let handler = Arc::new(PeerHandler {
         node: Arc::clone(node),
         reservations,
@@ -267,13 +275,13 @@
     Ok(())
 }
 
-/// Ends reservations that other routers have not released, until the task is aborted.
-async fn expire(reservations: Arc<Reservations>) {
+/// Expires reservations that other routers have not released, until the task is aborted.
+async fn expire_reservations(reservations: Arc<Reservations>) {
     loop {
-        sleep(EXPIRE_PERIOD).await;
+        sleep(EXPIRE_INTERVAL).await;
         let tokens = reservations.expire();
         if tokens > 0 {
-            event!(warn, "rights.expired", tokens = tokens);
+            event!(warn, "quota.expired", tokens = tokens);
         }
     }
 }
@@ -282,9 +290,9 @@
     Limits {
         workers: settings.workers,
         connections: settings.connections,
-        idle: IDLE,
-        head: HEAD,
-        stall: STALL,
+        idle: IDLE_TIMEOUT,
+        head: HEAD_TIMEOUT,
+        stall: STALL_TIMEOUT,
         ..Limits::default()
     }
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server.
+//! One attempt of a request at one backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use swiftlink_routing::ErrorKind;
 use tokio::time::Instant;
 
-use super::journey::Journey;
-use crate::dialect::{Order, Verdict};
+use super::exchange::Exchange;
+use crate::dialect::{ForwardMeta, ResponseKind};
 use crate::fleet::{Chosen, Ticket};
 use crate::headroom::head_bytes;
-use crate::proof::{Outcome, Ran};
+use crate::outcome::{Execution, Outcome};
 use crate::upstream::{Endpoint, Lease, SendError, SendOptions, send_to};
 
-/// Longest time for a new connection; within a region it takes a millisecond or two.
-const CONNECT: Duration = Duration::from_millis(400);
+/// Maximum time for opening a connection; within a region it takes a millisecond or two.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The head of an answer that belongs to the request, and what is to come.
-pub(super) struct Reply {
+/// A response that belongs to the request: its head, and the body that is still to be read.
+pub(super) struct ServerResponse {
     pub(super) head: response::Parts,
     pub(super) body: Body,
     pub(super) lease: Lease,
@@ -31,30 +31,30 @@
     pub(super) outcome: Outcome,
 }
 
-/// Sends the request once. `until`: when to give the server up.
+/// Sends the request once, and gives up at `until` if the server hasn't responded.
 pub(super) async fn attempt(
-    journey: &Journey,
+    exchange: &Exchange,
     server: Chosen,
     mut ticket: Ticket,
     resume: Option<u64>,
     until: Instant,
-) -> Result<Reply, Outcome> {
-    let request = build(journey, &server, resume);
+) -> Result<ServerResponse, Outcome> {
+    let request = build(exchange, &server, resume);
     let now = Instant::now();
     let options = SendOptions {
-        connect: CONNECT.min(until.saturating_duration_since(now)),
+        connect: CONNECT_TIMEOUT.min(until.saturating_duration_since(now)),
         head: until.saturating_duration_since(now),
         fresh: false,
     };
     let endpoint = Endpoint::of(server.address, &server.start);
-    let standing = server.standing.clone();
-    let held = Arc::clone(&journey.node.quarantine).until_held(Arc::clone(&journey.origin));
+    let eligibility = server.eligibility.clone();
+    let held = Arc::clone(&exchange.node.quarantine).until_held(Arc::clone(&exchange.identity));
     let sent = tokio::select! {
-        sent = send_to(standing, endpoint, request, options) => sent,
-        () = held => return Err(Outcome::Cut),
+        sent = send_to(eligibility, endpoint, request, options) => sent,
+        () = held => return Err(Outcome::Quarantined),
     };
-    let answer = match sent {
-        Ok(answer) => answer,
+    let response = match sent {
+        Ok(response) => response,
         Err(error) => {
             if let Some(kind) = error.kind() {
                 ticket.fail(kind);
@@ -63,45 +63,45 @@
                 SendError::Withheld(_) => Outcome::Withheld,
                 SendError::NotSent(_) | SendError::Unreachable => Outcome::NotSent,
                 SendError::Lost(_) => Outcome::Lost,
-                SendError::Silent => Outcome::Silent,
+                SendError::TimedOut => Outcome::TimedOut,
             });
         }
     };
-    let (response, mut lease) = answer.split();
+    let (response, mut lease) = response.split();
     let (head, body) = response.into_parts();
-    journey.node.traffic.relayed(head_bytes(&head.headers));
-    let dialect = &journey.node.dialect;
+    exchange.node.traffic.relayed(head_bytes(&head.headers));
+    let dialect = &exchange.node.dialect;
     if let Some(report) = dialect.load(&head.headers) {
-        journey.pool.on_report(ticket.idx, report);
+        exchange.pool.on_report(ticket.idx, report);
     }
     if let Some(left) = dialect.warmup(&head.headers) {
-        journey.pool.on_cold(ticket.idx, left);
+        exchange.pool.on_cold(ticket.idx, left);
     }
-    let verdict = dialect.verdict(journey.ask.id.as_ref(), head.status, &head.headers);
-    let outcome = match verdict {
-        Verdict::Shed => Outcome::Shed,
-        Verdict::Misdirected => Outcome::Misdirected,
-        Verdict::Stray => Outcome::Stray,
-        Verdict::Served => Outcome::Served,
-        Verdict::Failed => Outcome::Failed,
+    let kind = dialect.classify(exchange.meta.id.as_ref(), head.status, &head.headers);
+    let outcome = match kind {
+        ResponseKind::Shed => Outcome::Shed,
+        ResponseKind::Misdirected => Outcome::Misdirected,
+        ResponseKind::Mismatched => Outcome::Mismatched,
+        ResponseKind::Served => Outcome::Served,
+        ResponseKind::Failed => Outcome::Failed,
     };
-    if !matches!(outcome, Outcome::Stray | Outcome::Misdirected) {
-        hear(journey, &ticket, &server, &head);
+    if !matches!(outcome, Outcome::Mismatched | Outcome::Misdirected) {
+        record_announcement(exchange, &ticket, &server, &head);
     }
     match outcome {
-        Outcome::Stray => ticket.fail(ErrorKind::Broken),
+        Outcome::Mismatched => ticket.fail(ErrorKind::Broken),
         Outcome::Misdirected => ticket.fail(ErrorKind::Misdirected),
         Outcome::Shed => {
-            if let Some(keep) = dialect.keep(&head.headers) {
-                finish(body, &mut lease, keep).await;
+            if let Some(keep_alive) = dialect.keep_alive(&head.headers) {
+                drain_body(body, &mut lease, keep_alive).await;
             }
             drop(ticket);
         }
         _ => {
-            if outcome.ran() == Ran::Yes && !journey.is_stream() {
+            if outcome.execution() == Execution::Yes && !exchange.is_stream() {
                 ticket.first();
             }
-            return Ok(Reply {
+            return Ok(ServerResponse {
                 head,
                 body,
                 lease,
@@ -114,50 +114,55 @@
     Err(outcome)
 }
 
-/// Takes what the server says of itself: it binds all that is sent from here on.
-fn hear(journey: &Journey, ticket: &Ticket, server: &Chosen, head: &response::Parts) {
-    let dialect = &journey.node.dialect;
-    if dialect.is_leaving(&head.headers) {
-        journey.pool.on_leaving(ticket.idx, server);
+/// Records what the server announces about itself, which binds all requests sent from here on.
+fn record_announcement(
+    exchange: &Exchange,
+    ticket: &Ticket,
+    server: &Chosen,
+    head: &response::Parts,
+) {
+    let dialect = &exchange.node.dialect;
+    if dialect.is_draining(&head.headers) {
+        exchange.pool.on_leaving(ticket.idx, server);
     }
-    if let Some(time) = dialect.rest(head.status, &head.headers) {
-        journey.pool.on_rest(ticket.idx, server, time);
+    if let Some(time) = dialect.backoff(head.status, &head.headers) {
+        exchange.pool.on_rest(ticket.idx, server, time);
     }
 }
 
-/// Reads the short body of a refusal, so that its connection can be used again.
-async fn finish(body: Body, lease: &mut Lease, keep: Duration) {
+/// Reads the short body of a refusal, so that its connection can be reused.
+async fn drain_body(body: Body, lease: &mut Lease, keep_alive: Duration) {
     use http_body_util::{BodyExt, Limited};
-    /// Longest body that is read for the sake of its connection, in bytes.
-    const SHORT: usize = 4_096;
-    /// Longest wait for it.
-    const WAIT: Duration = Duration::from_millis(20);
-    let rest = Limited::new(body, SHORT).collect();
-    if let Ok(Ok(_body)) = tokio::time::timeout(WAIT, rest).await {
-        lease.recycle_for(keep);
+    /// Maximum length in bytes of a body that is read to reuse its connection.
+    const MAX_BYTES: usize = 4_096;
+    /// Maximum time for reading it.
+    const TIMEOUT: Duration = Duration::from_millis(20);
+    let rest = Limited::new(body, MAX_BYTES).collect();
+    if let Ok(Ok(_body)) = tokio::time::timeout(TIMEOUT, rest).await {
+        lease.recycle_for(keep_alive);
     }
 }
 
-fn build(journey: &Journey, server: &Chosen, resume: Option<u64>) -> Request<Full<Bytes>> {
-    let parcel = &journey.parcel;
-    let workspace = journey.workspace.as_deref();
+fn build(exchange: &Exchange, server: &Chosen, resume: Option<u64>) -> Request<Full<Bytes>> {
+    let forwarded = &exchange.request;
+    let workspace = exchange.workspace.as_deref();
     let priority = workspace.and_then(|workspace| workspace.priority);
-    let order = Order {
+    let meta = ForwardMeta {
         server: &server.start.name,
         workspace: workspace.map(|workspace| &workspace.name),
-        left: journey.left(),
-        priority: Some(priority.unwrap_or(journey.route.priority)),
+        left: exchange.left(),
+        priority: Some(priority.unwrap_or(exchange.route.priority)),
         resume,
     };
-    let headers = journey
+    let headers = exchange
         .node
         .dialect
-        .request_headers(&parcel.headers, &order);
-    let bytes = head_bytes(&headers) + parcel.body.len();
-    journey.node.traffic.sent(bytes);
-    let mut request = Request::new(Full::new(parcel.body.clone()));
-    *request.method_mut() = parcel.method.clone();
-    *request.uri_mut() = parcel.uri.clone();
+        .request_headers(&forwarded.headers, &meta);
+    let bytes = head_bytes(&headers) + forwarded.body.len();
+    exchange.node.traffic.sent(bytes);
+    let mut request = Request::new(Full::new(forwarded.body.clone()));
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
     *request.headers_mut() = headers;
     request
 }
--- /dev/null
+++ b/crates/gateway/src/serve/exchange.rs
@@ -0,0 +1,456 @@
+//! A caller's request from its first attempt to its response.
+
+use std::cell::Cell;
+use std::collections::HashSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http::header::CONNECTION;
+use http::{HeaderMap, Method, Uri};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use swiftlink_routing::{ErrorKind, Prompt, ServerIdx};
+use swiftlink_shell::web::{Body, Response};
+use swiftlink_telemetry::event;
+use swiftlink_types::{DomainName, Tokens};
+use tokio::time::{Instant, timeout_at};
+
+use super::attempt::{ServerResponse, attempt};
+use super::refusal::{Refusal, SERVER_RETRY};
+use super::relay;
+use crate::dialect::RequestMeta;
+use crate::fingerprint::RequestIdentity;
+use crate::fleet::{Pool, Wish};
+use crate::model::{Replay, Route, RouteKind, Workspace};
+use crate::node::{InFlight, Node};
+use crate::outcome::{Execution, Outcome};
+use crate::rights::Spend;
+
+/// Maximum number of attempts of one request, also when no server executed it.
+const MAX_ATTEMPTS: usize = 4;
+/// Maximum length in bytes of a response that is buffered before it is relayed. One that breaks
+/// off can then be replaced by the response of another server or by an error.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
+/// How long an idle connection is kept if the server doesn't specify a timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+
+/// The parts of a caller's request that are forwarded to servers.
+#[derive(Debug)]
+pub(super) struct ForwardedRequest {
+    pub(super) method: Method,
+    pub(super) uri: Uri,
+    pub(super) headers: HeaderMap,
+    pub(super) body: Bytes,
+}
+
+/// An admitted request, from the reservation of its quota until its response is complete.
+#[derive(Debug)]
+pub(super) struct Exchange {
+    pub(super) node: Arc<Node>,
+    pub(super) pool: Arc<Pool>,
+    pub(super) route: Arc<Route>,
+    pub(super) workspace: Option<Arc<Workspace>>,
+    pub(super) request: ForwardedRequest,
+    /// Identifies the request when its caller sends it again.
+    pub(super) identity: Arc<RequestIdentity>,
+    pub(super) meta: RequestMeta,
+    pub(super) reservation: Option<Spend>,
+    /// Failure domains that the request may go to; `None` for all.
+    pub(super) domains: Option<HashSet<DomainName>>,
+    /// Version of the configuration that the request was admitted under.
+    pub(super) version: u64,
+    pub(super) start: Instant,
+    pub(super) deadline: Instant,
+    /// Whether the end of the request was logged.
+    pub(super) is_logged: Cell<bool>,
+}
+
+/// Logs a request whose caller disconnected, which drops the exchange at any point.
+impl Drop for Exchange {
+    fn drop(&mut self) {
+        if self.is_logged.get() {
+            return;
+        }
+        event!(
+            info,
+            "request.abandoned",
+            id = self.id(),
+            route = self.route.name,
+            workspace = self.workspace(),
+            charged = self.spent(),
+            config = self.version,
+            ms = self.start.elapsed().as_millis(),
+        );
+        let kind = self.route.kind.as_str();
+        self.node
+            .metrics
+            .answered(kind, "left", self.start.elapsed());
+    }
+}
+
+/// What to do with a response that wasn't buffered completely.
+enum NextStep {
+    /// Send the request again.
+    Retry,
+    /// Return a response of the router itself.
+    Refuse(Refusal),
+    /// Relay a long response: the start is buffered, the rest is passed on as it arrives.
+    Relay(Bytes, Box<ServerResponse>),
+}
+
+/// The body of a response that isn't a stream, as far as it was read.
+enum BufferedBody {
+    Complete(Bytes),
+    Partial { start: Bytes, rest: Incoming },
+}
+
+/// The attempts of a request so far.
+#[derive(Debug, Default)]
+pub(super) struct Attempts {
+    tried: Vec<ServerIdx>,
+    /// Number of servers that may have executed the request.
+    executions: u32,
+    /// Attempts that were given up before any byte left, since the server became ineligible.
+    withheld: usize,
+}
+
+impl Exchange {
+    /// Whether the response is a stream of events.
+    pub(super) fn is_stream(&self) -> bool {
+        self.route.kind == RouteKind::Streaming
+    }
+
+    /// Time until the deadline.
+    pub(super) fn left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// Tokens that the request has spent.
+    pub(super) fn spent(&self) -> Tokens {
+        self.reservation.as_ref().map_or(0, Spend::spent)
+    }
+
+    /// Charges a response that is delivered as a whole.
+    fn deliver_all(&mut self) {
+        if let Some(reservation) = &mut self.reservation {
+            reservation.deliver_all();
+        }
+    }
+
+    /// Length of the prompt, in own and shared tokens.
+    fn prompt(&self) -> Prompt {
+        let all = self.meta.usage.map_or(0, |usage| usage.prompt);
+        let shared = self.meta.shared.min(all);
+        Prompt {
+            own: all - shared,
+            shared,
+        }
+    }
+
+    /// The fingerprint for the log entry of a response that broke off; `-` for others.
+    pub(super) fn logged_fingerprint(&self, is_broken: bool) -> String {
+        if is_broken {
+            self.identity.fingerprint().to_string()
+        } else {
+            "-".to_owned()
+        }
+    }
+
+    /// Name of the workspace that is charged, for logs.
+    pub(super) fn workspace(&self) -> &str {
+        let workspace = self.workspace.as_ref();
+        workspace.map_or("-", |workspace| workspace.name.as_str())
+    }
+
+    /// Id of the request, for logs.
+    pub(super) fn id(&self) -> &str {
+        self.meta.id()
+    }
+
+    /// How long the connection of a response may be kept; `None` if the server closes it.
+    pub(super) fn keep_alive(&self, head: &HeaderMap) -> Option<Duration> {
+        let connection = head.get(CONNECTION);
+        if connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close")) {
+            return None;
+        }
+        Some(
+            self.node
+                .dialect
+                .keep_alive(head)
+                .unwrap_or(DEFAULT_KEEP_ALIVE),
+        )
+    }
+
+    /// Sends the request until it has a response or a refusal.
+    pub(super) async fn run(mut self, guard: InFlight) -> Response {
+        let mut attempts = Attempts::default();
+        loop {
+            let response = match self.dispatch(&mut attempts, self.meta.resume).await {
+                Ok(response) => response,
+                Err(refusal) => return self.refuse(refusal, &attempts),
+            };
+            if self.is_stream() && response.outcome == Outcome::Served {
+                return relay::stream(self, attempts, response, guard);
+            }
+            match self.buffer(&mut attempts, response).await {
+                Ok(response) => return response,
+                Err(NextStep::Refuse(refusal)) => return self.refuse(refusal, &attempts),
+                Err(NextStep::Relay(start, response)) => {
+                    self.deliver_all();
+                    return relay::long_body(self, attempts, start, *response, guard);
+                }
+                Err(NextStep::Retry) => {}
+            }
+        }
+    }
+
+    /// Sends the request to one server after the other until one responds.
+    pub(super) async fn dispatch(
+        &mut self,
+        attempts: &mut Attempts,
+        resume: Option<u64>,
+    ) -> Result<ServerResponse, Refusal> {
+        loop {
+            if let Some(rest) = self.node.quarantine.rest(&self.identity) {
+                return Err(quarantine_refusal(attempts, rest));
+            }
+            let Some((server, ticket)) = self.pool.send(&self.criteria(attempts)) else {
+                return Err(self.unserved(attempts));
+            };
+            let idx = ticket.idx;
+            let until = self.attempt_deadline(attempts);
+            let name = server.start.name.clone();
+            let chosen = server.clone();
+            let outcome = match attempt(self, server, ticket, resume, until).await {
+                Ok(response) => {
+                    self.node.metrics.attempted(response.outcome.as_str());
+                    attempts.tried.push(idx);
+                    attempts.executions += 1;
+                    return Ok(response);
+                }
+                Err(outcome) => outcome,
+            };
+            attempts.tried.push(idx);
+            self.node.metrics.attempted(outcome.as_str());
+            attempts.record(outcome);
+            let is_broken = outcome == Outcome::Lost;
+            if is_broken {
+                self.node.quarantine.on_break(&chosen, &self.identity);
+            }
+            event!(
+                info,
+                "request.send_failed",
+                id = self.id(),
+                server = name,
+                outcome = outcome.as_str(),
+                attempt = attempts.count(),
+                print = self.logged_fingerprint(is_broken),
+                left_ms = self.left().as_millis(),
+            );
+            if !self.may_retry(attempts, outcome) {
+                return Err(match outcome {
+                    Outcome::Quarantined => Refusal::Lost,
+                    Outcome::TimedOut => Refusal::Timeout,
+                    _ => self.unserved(attempts),
+                });
+            }
+        }
+    }
+
+    /// Criteria for choosing the next server.
+    fn criteria<'a>(&'a self, attempts: &'a Attempts) -> Wish<'a> {
+        Wish {
+            prefix: self.meta.prefix,
+            prompt: self.prompt(),
+            aim: self.route.aim,
+            domains: self.domains.as_ref(),
+            exclude: &attempts.tried,
+            route: Some(&self.route.name),
+            may_try: attempts.tried.is_empty(),
+        }
+    }
+
+    /// Refusal of a request that isn't sent again.
+    fn unserved(&self, attempts: &Attempts) -> Refusal {
+        if attempts.executions == 0 {
+            return Refusal::NoServer(self.pool.back_in().unwrap_or(SERVER_RETRY));
+        }
+        Refusal::Lost
+    }
+
+    /// Whether the request may be sent once more. Takes a retry from the fleet's limit if the last
+    /// attempt may have reached a server.
+    pub(super) fn may_retry(&self, attempts: &Attempts, outcome: Outcome) -> bool {
+        let may_retry = outcome.may_retry(self.route.replay())
+            && attempts.executions < self.route.attempts.max(1)
+            && attempts.count() < MAX_ATTEMPTS
+            && !self.left().is_zero();
+        may_retry && (!outcome.may_have_arrived() || self.pool.retries.take())
+    }
+
+    /// When to stop waiting for the head of a response: if another server may be tried, half of
+    /// the remaining time is left for it.
+    fn attempt_deadline(&self, attempts: &Attempts) -> Instant {
+        let is_last = attempts.executions + 1 >= self.route.attempts;
+        if self.route.replay() == Replay::Never || is_last {
+            return self.deadline;
+        }
+        Instant::now() + self.left() / 2
+    }
+
+    /// Buffers a response that isn't a stream and makes the caller's response of it.
+    async fn buffer(
+        &mut self,
+        attempts: &mut Attempts,
+        response: ServerResponse,
+    ) -> Result<Response, NextStep> {
+        let ServerResponse {
+            head,
+            body,
+            mut lease,
+            ticket,
+            server,
+            outcome,
+        } = response;
+        if outcome == Outcome::Failed && self.may_retry(attempts, outcome) {
+            event!(
+                info,
+                "request.failed",
+                id = self.id(),
+                server = server.start.name,
+                status = head.status.as_u16(),
+                next = "another server",
+            );
+            ticket.fail(ErrorKind::Status);
+            return Err(NextStep::Retry);
+        }
+        let body = match timeout_at(self.deadline, buffer_body(body)).await {
+            Ok(Ok(BufferedBody::Complete(body))) => {
+                self.node.traffic.relayed(body.len());
+                body
+            }
+            Ok(Ok(BufferedBody::Partial { start, rest })) => {
+                let response = ServerResponse {
+                    head,
+                    body: rest,
+                    lease,
+                    ticket,
+                    server,
+                    outcome,
+                };
+                return Err(NextStep::Relay(start, Box::new(response)));
+            }
+            Ok(Err(error)) => {
+                event!(
+                    info,
+                    "request.truncated",
+                    id = self.id(),
+                    server = server.start.name,
+                    print = self.identity.fingerprint(),
+                    error = error,
+                );
+                ticket.fail(ErrorKind::Broken);
+                self.node.quarantine.on_break(&server, &self.identity);
+                if self.may_retry(attempts, Outcome::Truncated) {
+                    return Err(NextStep::Retry);
+                }
+                return Err(NextStep::Refuse(Refusal::Lost));
+            }
+            Err(_elapsed) => return Err(NextStep::Refuse(Refusal::Timeout)),
+        };
+        if let Some(keep_alive) = self.keep_alive(&head.headers) {
+            lease.recycle_for(keep_alive);
+        }
+        match outcome {
+            Outcome::Failed => ticket.fail(ErrorKind::Status),
+            _ => {
+                ticket.end();
+                self.deliver_all();
+                self.node.quarantine.on_served(&self.identity);
+            }
+        }
+        event!(
+            info,
+            "request.answered",
+            id = self.id(),
+            route = self.route.name,
+            workspace = self.workspace(),
+            server = server.start.name,
+            status = head.status.as_u16(),
+            attempts = attempts.count(),
+            config = self.version,
+            ms = self.start.elapsed().as_millis(),
+        );
+        self.is_logged.set(true);
+        let kind = self.route.kind.as_str();
+        self.node
+            .metrics
+            .answered(kind, outcome.as_str(), self.start.elapsed());
+        let mut response = Response::new(Body::full(body));
+        *response.status_mut() = head.status;
+        *response.headers_mut() = self.node.dialect.response_headers(&head.headers);
+        Ok(response)
+    }
+
+    /// Logs the refusal and makes its response.
+    pub(super) fn refuse(&self, refusal: Refusal, attempts: &Attempts) -> Response {
+        event!(
+            info,
+            "request.refused",
+            id = self.id(),
+            route = self.route.name,
+            workspace = self.workspace(),
+            reason = refusal.as_str(),
+            attempts = attempts.count(),
+            runs = attempts.executions,
+            open = self.pool.open(),
+            config = self.version,
+            ms = self.start.elapsed().as_millis(),
+        );
+        self.is_logged.set(true);
+        self.node.metrics.refused(refusal.as_str());
+        refusal.response()
+    }
+}
+
+/// Refusal of a quarantined request, which depends on whether the request may have been executed.
+fn quarantine_refusal(attempts: &Attempts, rest: Duration) -> Refusal {
+    if attempts.executions == 0 {
+        return Refusal::Held(rest);
+    }
+    Refusal::Lost
+}
+
+/// Reads a body up to [`MAX_BUFFERED_BYTES`].
+async fn buffer_body(mut body: Incoming) -> Result<BufferedBody, hyper::Error> {
+    let mut buffer = BytesMut::new();
+    while let Some(frame) = body.frame().await {
+        let Ok(chunk) = frame?.into_data() else {
+            continue;
+        };
+        buffer.extend_from_slice(&chunk);
+        if buffer.len() > MAX_BUFFERED_BYTES {
+            let start = buffer.freeze();
+            return Ok(BufferedBody::Partial { start, rest: body });
+        }
+    }
+    Ok(BufferedBody::Complete(buffer.freeze()))
+}
+
+impl Attempts {
+    /// Number of attempts, without those that were withheld.
+    pub(super) fn count(&self) -> usize {
+        self.tried.len() - self.withheld
+    }
+
+    /// Records a failed attempt.
+    fn record(&mut self, outcome: Outcome) {
+        if outcome.execution() != Execution::No {
+            self.executions += 1;
+        }
+        if outcome == Outcome::Withheld {
+            self.withheld += 1;
+        }
+    }
+}
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,13 +1,13 @@
-//! The way of a request.
+//! Handling of callers' requests.
 //!
-//! `surface` reads the request, finds route, workspace and rights; `attempt` sends it
-//! to one server; `journey` sends it on as the outcome allows; `relay` hands the answer
-//! to the caller; `refuse` makes the answers that the router gives by itself.
+//! `service` reads a request, finds its route and workspace and reserves its quota; `attempt`
+//! sends it to one server; `exchange` repeats attempts as their outcomes allow; `relay` passes
+//! the response to the caller; `refusal` makes the responses of the router itself.
 
 mod attempt;
-mod journey;
-mod refuse;
+mod exchange;
+mod refusal;
 mod relay;
-mod surface;
+mod service;
 
-pub use surface::Surface;
+pub use service::CallerService;
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -1,5 +1,5 @@
-//! Hands a stream of events on as it comes, at another server where the first one
-//! broke off.
+//! Relays response bodies as they arrive. Where the route allows it, an event stream that breaks
+//! off is resumed at another server.
 
 use std::io;
 use std::sync::Arc;
@@ -13,227 +13,239 @@
 use swiftlink_types::Micros;
 use tokio::time::{Instant, timeout_at};
 
-use super::attempt::Reply;
-use super::journey::{Journey, Trail};
+use super::attempt::ServerResponse;
+use super::exchange::{Attempts, Exchange};
 use crate::node::InFlight;
-use crate::proof::Outcome;
-use crate::sse::EventCutter;
+use crate::outcome::Outcome;
+use crate::sse::EventSplitter;
 
-/// A request that ends servers does so when they begin to run it. One whose events come for so
-/// long isn't the cause of an end.
-const LONG_RUN: Duration = Duration::from_secs(1);
+/// A query of death crashes its server when the server begins to run it. A request whose events
+/// have arrived for this long isn't the cause of a crash.
+const CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// Why a stream ended.
+/// How the relaying of a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    Whole,
+enum StreamEnd {
+    Complete,
     Broken,
     Timeout,
-    /// The request is held from now on, and the server's answer was cut.
-    Cut,
+    /// The request was quarantined, and the server's response was aborted.
+    Quarantined,
 }
 
-impl End {
+impl StreamEnd {
     fn as_str(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Broken => "broken",
             Self::Timeout => "timeout",
-            Self::Cut => "cut",
+            Self::Quarantined => "cut",
         }
     }
 }
 
-/// How a stream kept its caller waiting.
+/// Times between the events of a stream.
 #[derive(Debug, Default)]
-struct Pauses {
+struct EventGaps {
     /// Time to the first event.
     first: Duration,
-    /// Longest time between two events.
+    /// Longest gap between two events.
     longest: Duration,
-    /// All times between events together, and how many there were.
+    /// Sum of all gaps, and their number.
     sum: Duration,
     count: u32,
-    /// Those that the server's speed wasn't taken from yet.
-    fresh: Vec<Duration>,
-    /// How many it is next taken from.
-    due: usize,
-    /// When the last event came.
+    /// Gaps since the last sample of the server's speed.
+    unsampled: Vec<Duration>,
+    /// Number of gaps that the next sample needs.
+    sample_size: usize,
+    /// When the last event arrived.
     last: Option<Instant>,
 }
 
-/// Pauses of a stream from which its server's speed is taken first: soon, since a router
-/// that starts knows nothing.
-const FIRST_PAUSES: usize = 8;
-/// The same later on.
-const MORE_PAUSES: usize = 32;
+/// Number of gaps in the first sample of a server's speed in a stream. It is small, since a router
+/// that has just started knows nothing of its servers.
+const FIRST_SAMPLE: usize = 8;
+/// Number of gaps in each later sample.
+const LATER_SAMPLE: usize = 32;
 
-impl Pauses {
-    /// Notes events of a request that began at `start`; says whether they are the first.
+impl EventGaps {
+    /// Records the arrival of events of a request that began at `start`. Returns whether they are
+    /// the first.
     fn on_event(&mut self, start: Instant, now: Instant) -> bool {
-        let before = self.last.replace(now);
-        let Some(before) = before else {
+        let last = self.last.replace(now);
+        let Some(last) = last else {
             self.first = now - start;
             return true;
         };
-        let pause = now - before;
-        self.longest = self.longest.max(pause);
-        self.sum += pause;
+        let gap = now - last;
+        self.longest = self.longest.max(gap);
+        self.sum += gap;
         self.count += 1;
-        self.fresh.push(pause);
+        self.unsampled.push(gap);
         false
     }
 
-    /// What the last ones say of the server, once they are enough.
-    fn flow(&mut self) -> Option<Flow> {
-        if self.fresh.len() < self.due.max(FIRST_PAUSES) {
+    /// Samples the server's speed once there are enough gaps.
+    fn sample(&mut self) -> Option<Flow> {
+        if self.unsampled.len() < self.sample_size.max(FIRST_SAMPLE) {
             return None;
         }
-        let longest = self.fresh.iter().max().copied().unwrap_or_default();
-        let quick = self.fresh.len() / 8;
-        let (_, gap, _) = self.fresh.select_nth_unstable(quick);
+        let longest = self.unsampled.iter().max().copied().unwrap_or_default();
+        let index = self.unsampled.len() / 8;
+        let (_, gap, _) = self.unsampled.select_nth_unstable(index);
         let flow = Flow {
             gap: gap.as_micros() as Micros,
             longest: longest.as_micros() as Micros,
         };
-        self.fresh.clear();
-        self.due = MORE_PAUSES;
+        self.unsampled.clear();
+        self.sample_size = LATER_SAMPLE;
         Some(flow)
     }
 
-    /// The stream goes on at another server.
-    fn turn(&mut self) {
-        self.fresh.clear();
-        self.due = 0;
+    /// Discards the gaps of the last server: another one resumes the stream.
+    fn switch_server(&mut self) {
+        self.unsampled.clear();
+        self.sample_size = 0;
     }
 }
 
-/// The answer to the caller; its body goes on while the server's does.
-pub(super) fn stream(journey: Journey, trail: Trail, reply: Reply, guard: InFlight) -> Response {
-    let response = head(&journey, &reply);
-    response.map(|()| Body::stream(pieces(journey, trail, reply, guard)))
+/// Relays a stream of events: its body lasts as long as the server's.
+pub(super) fn stream(
+    exchange: Exchange,
+    attempts: Attempts,
+    response: ServerResponse,
+    guard: InFlight,
+) -> Response {
+    let head = response_head(&exchange, &response);
+    head.map(|()| Body::stream(events(exchange, attempts, response, guard)))
 }
 
-/// The head of the caller's answer. Its body goes out in pieces, so its length isn't told.
-fn head(journey: &Journey, reply: &Reply) -> http::Response<()> {
-    let mut response = http::Response::new(());
-    *response.status_mut() = reply.head.status;
-    *response.headers_mut() = journey.node.dialect.response_headers(&reply.head.headers);
-    response.headers_mut().remove(http::header::CONTENT_LENGTH);
-    response
+/// The head of the caller's response, without a length, since the body is sent in chunks.
+fn response_head(exchange: &Exchange, response: &ServerResponse) -> http::Response<()> {
+    let mut head = http::Response::new(());
+    *head.status_mut() = response.head.status;
+    *head.headers_mut() = exchange
+        .node
+        .dialect
+        .response_headers(&response.head.headers);
+    head.headers_mut().remove(http::header::CONTENT_LENGTH);
+    head
 }
 
-/// A long answer that isn't a stream of events: `start` was read, the rest follows.
-pub(super) fn long(
-    journey: Journey,
-    trail: Trail,
+/// Relays a long response that isn't a stream of events: `start` is buffered, the rest follows.
+pub(super) fn long_body(
+    exchange: Exchange,
+    attempts: Attempts,
     start: Bytes,
-    reply: Reply,
+    response: ServerResponse,
     guard: InFlight,
 ) -> Response {
-    let response = head(&journey, &reply);
+    let head = response_head(&exchange, &response);
     let body = async_stream::stream! {
         let _guard = guard;
-        let mut reply = reply;
-        journey.node.traffic.relayed(start.len());
+        let mut response = response;
+        exchange.node.traffic.relayed(start.len());
         yield Ok(start);
         let end = loop {
-            match timeout_at(journey.deadline, reply.body.frame()).await {
-                Err(_elapsed) => break End::Timeout,
-                Ok(None) => break End::Whole,
-                Ok(Some(Err(_error))) => break End::Broken,
+            match timeout_at(exchange.deadline, response.body.frame()).await {
+                Err(_elapsed) => break StreamEnd::Timeout,
+                Ok(None) => break StreamEnd::Complete,
+                Ok(Some(Err(_error))) => break StreamEnd::Broken,
                 Ok(Some(Ok(frame))) => {
-                    if let Ok(piece) = frame.into_data() {
-                        journey.node.traffic.relayed(piece.len());
-                        yield Ok(piece);
+                    if let Ok(chunk) = frame.into_data() {
+                        exchange.node.traffic.relayed(chunk.len());
+                        yield Ok(chunk);
                     }
                 }
             }
         };
         match end {
-            End::Broken => journey.node.quarantine.on_break(&reply.server, &journey.origin),
-            End::Whole => journey.node.quarantine.on_served(&journey.origin),
-            End::Timeout | End::Cut => {}
+            StreamEnd::Broken => exchange
+                .node
+                .quarantine
+                .on_break(&response.server, &exchange.identity),
+            StreamEnd::Complete => exchange.node.quarantine.on_served(&exchange.identity),
+            StreamEnd::Timeout | StreamEnd::Quarantined => {}
         }
-        let cutter = EventCutter::new();
-        finish(&journey, &trail, &cutter, &Pauses::default(), reply, end);
-        if end != End::Whole {
+        let splitter = EventSplitter::new();
+        finish(&exchange, &attempts, &splitter, &EventGaps::default(), response, end);
+        if end != StreamEnd::Complete {
             yield Err(io::Error::other(end.as_str()));
         }
     };
-    response.map(|()| Body::stream(body))
+    head.map(|()| Body::stream(body))
 }
 
-fn pieces(
-    mut journey: Journey,
-    mut trail: Trail,
-    mut reply: Reply,
+fn events(
+    mut exchange: Exchange,
+    mut attempts: Attempts,
+    mut response: ServerResponse,
     guard: InFlight,
 ) -> impl futures_util::Stream<Item = Result<Bytes, io::Error>> {
     async_stream::stream! {
         let _guard = guard;
-        let mut cutter = EventCutter::new();
-        let mut pauses = Pauses::default();
-        let stride = journey.pool.spec().stride.unwrap_or(1);
-        let quarantine = Arc::clone(&journey.node.quarantine);
-        let held = Arc::clone(&quarantine).until_held(Arc::clone(&journey.origin));
+        let mut splitter = EventSplitter::new();
+        let mut gaps = EventGaps::default();
+        let max_event_tokens = exchange.pool.spec().stride.unwrap_or(1);
+        let quarantine = Arc::clone(&exchange.node.quarantine);
+        let held = Arc::clone(&quarantine).until_held(Arc::clone(&exchange.identity));
         tokio::pin!(held);
         loop {
-            // When the first event of this server came.
-            let mut began: Option<Instant> = None;
+            // When the first event of this server arrived.
+            let mut first_event: Option<Instant> = None;
             let end = loop {
                 let frame = tokio::select! {
-                    frame = timeout_at(journey.deadline, reply.body.frame()) => frame,
-                    () = &mut held, if began.is_none() => break End::Cut,
+                    frame = timeout_at(exchange.deadline, response.body.frame()) => frame,
+                    () = &mut held, if first_event.is_none() => break StreamEnd::Quarantined,
                 };
                 let frame = match frame {
-                    Err(_elapsed) => break End::Timeout,
-                    Ok(None) => break End::Whole,
-                    Ok(Some(Err(_error))) => break End::Broken,
+                    Err(_elapsed) => break StreamEnd::Timeout,
+                    Ok(None) => break StreamEnd::Complete,
+                    Ok(Some(Err(_error))) => break StreamEnd::Broken,
                     Ok(Some(Ok(frame))) => frame,
                 };
-                let Ok(piece) = frame.into_data() else {
+                let Ok(chunk) = frame.into_data() else {
                     continue;
                 };
-                journey.node.traffic.relayed(piece.len());
-                let Some(events) = cutter.push(&piece) else {
+                exchange.node.traffic.relayed(chunk.len());
+                let Some(events) = splitter.push(&chunk) else {
                     continue;
                 };
-                reply.ticket.first();
-                began.get_or_insert_with(Instant::now);
-                if pauses.on_event(journey.start, Instant::now()) {
-                    journey.node.metrics.first_event(journey.start.elapsed());
+                response.ticket.first();
+                first_event.get_or_insert_with(Instant::now);
+                if gaps.on_event(exchange.start, Instant::now()) {
+                    exchange.node.metrics.first_event(exchange.start.elapsed());
                 }
-                if let Some(flow) = pauses.flow() {
-                    reply.ticket.flow(flow);
+                if let Some(flow) = gaps.sample() {
+                    response.ticket.flow(flow);
                 }
-                if let Some(spend) = &mut journey.spend {
-                    spend.deliver(cutter.events() * stride);
+                if let Some(reservation) = &mut exchange.reservation {
+                    reservation.deliver(splitter.events() * max_event_tokens);
                 }
                 yield Ok(events);
             };
             match end {
-                End::Broken if !runs_well(began) => {
-                    quarantine.on_break(&reply.server, &journey.origin);
+                StreamEnd::Broken if !outlived_crash_window(first_event) => {
+                    quarantine.on_break(&response.server, &exchange.identity);
                 }
-                End::Whole => quarantine.on_served(&journey.origin),
-                End::Broken | End::Timeout | End::Cut => {}
+                StreamEnd::Complete => quarantine.on_served(&exchange.identity),
+                StreamEnd::Broken | StreamEnd::Timeout | StreamEnd::Quarantined => {}
             }
-            if end == End::Broken
-                && let Some(next) = go_on(&mut journey, &mut trail, &cutter, &reply).await
+            if end == StreamEnd::Broken
+                && let Some(next) = resume(&mut exchange, &mut attempts, &splitter, &response).await
             {
-                let broken = std::mem::replace(&mut reply, next);
+                let broken = std::mem::replace(&mut response, next);
                 broken.ticket.fail(ErrorKind::Broken);
-                cutter.reset();
-                pauses.turn();
+                splitter.reset();
+                gaps.switch_server();
                 continue;
             }
-            finish(&journey, &trail, &cutter, &pauses, reply, end);
-            if end != End::Whole {
+            finish(&exchange, &attempts, &splitter, &gaps, response, end);
+            if end != StreamEnd::Complete {
                 yield Err(io::Error::other(end.as_str()));
                 return;
             }
-            let rest = cutter.rest();
+            let rest = splitter.take_rest();
             if !rest.is_empty() {
                 yield Ok(rest);
             }
@@ -242,84 +254,84 @@
     }
 }
 
-/// Whether a server has worked on a request for so long that it won't end under it.
-fn runs_well(began: Option<Instant>) -> bool {
-    began.is_some_and(|at| at.elapsed() >= LONG_RUN)
+/// Whether a server has run a request for so long that the request isn't a query of death.
+fn outlived_crash_window(first_event: Option<Instant>) -> bool {
+    first_event.is_some_and(|at| at.elapsed() >= CRASH_WINDOW)
 }
 
-/// The rest of a broken stream from another server, where the route allows it.
-async fn go_on(
-    journey: &mut Journey,
-    trail: &mut Trail,
-    cutter: &EventCutter,
-    broken: &Reply,
-) -> Option<Reply> {
-    if !journey.may_retry(trail, Outcome::Truncated) {
+/// Resumes a broken stream at another server, if the route allows it.
+async fn resume(
+    exchange: &mut Exchange,
+    attempts: &mut Attempts,
+    splitter: &EventSplitter,
+    broken: &ServerResponse,
+) -> Option<ServerResponse> {
+    if !exchange.may_retry(attempts, Outcome::Truncated) {
         return None;
     }
-    let last = cutter.last().or(journey.ask.resume);
+    let last = splitter.last_id().or(exchange.meta.resume);
     event!(
         info,
         "request.resumed",
-        id = journey.id(),
+        id = exchange.id(),
         broken = broken.server.start.name,
-        print = journey.origin.print(),
+        print = exchange.identity.fingerprint(),
         after = last.unwrap_or(0),
     );
-    let next = journey.dispatch(trail, last).await.ok()?;
+    let next = exchange.dispatch(attempts, last).await.ok()?;
     (next.outcome == Outcome::Served).then_some(next)
 }
 
 fn finish(
-    journey: &Journey,
-    trail: &Trail,
-    cutter: &EventCutter,
-    pauses: &Pauses,
-    reply: Reply,
-    end: End,
+    exchange: &Exchange,
+    attempts: &Attempts,
+    splitter: &EventSplitter,
+    gaps: &EventGaps,
+    response: ServerResponse,
+    end: StreamEnd,
 ) {
     event!(
         info,
         "request.streamed",
-        id = journey.id(),
-        route = journey.route.name,
-        workspace = journey.workspace(),
-        server = reply.server.start.name,
+        id = exchange.id(),
+        route = exchange.route.name,
+        workspace = exchange.workspace(),
+        server = response.server.start.name,
         end = end.as_str(),
-        events = cutter.events(),
-        prompt = journey.ask.usage.map_or(0, |usage| usage.prompt),
-        first_ms = pauses.first.as_millis(),
-        pause_ms = pauses.longest.as_millis(),
-        attempts = trail.sends(),
-        print = journey.shown_print(end == End::Broken),
-        charged = journey.spent(),
-        config = journey.version,
-        ms = journey.start.elapsed().as_millis(),
+        events = splitter.events(),
+        prompt = exchange.meta.usage.map_or(0, |usage| usage.prompt),
+        first_ms = gaps.first.as_millis(),
+        pause_ms = gaps.longest.as_millis(),
+        attempts = attempts.count(),
+        print = exchange.logged_fingerprint(end == StreamEnd::Broken),
+        charged = exchange.spent(),
+        config = exchange.version,
+        ms = exchange.start.elapsed().as_millis(),
     );
-    journey.is_told.set(true);
-    let kind = journey.route.kind.as_str();
-    journey
+    exchange.is_logged.set(true);
+    let kind = exchange.route.kind.as_str();
+    exchange
         .node
         .metrics
-        .answered(kind, end.as_str(), journey.start.elapsed());
-    let Reply {
+        .answered(kind, end.as_str(), exchange.start.elapsed());
+    let ServerResponse {
         head,
         mut lease,
         ticket,
         ..
-    } = reply;
-    if pauses.count > 0 {
-        ticket.pace(pauses.sum / pauses.count);
+    } = response;
+    if gaps.count > 0 {
+        ticket.pace(gaps.sum / gaps.count);
     }
     match end {
-        End::Whole => {
-            if let Some(keep) = journey.keep(&head.headers) {
-                lease.recycle_for(keep);
+        StreamEnd::Complete => {
+            if let Some(keep_alive) = exchange.keep_alive(&head.headers) {
+                lease.recycle_for(keep_alive);
             }
             ticket.end();
         }
-        End::Broken => ticket.fail(ErrorKind::Broken),
-        End::Timeout => ticket.time_out(),
-        End::Cut => drop(ticket),
+        StreamEnd::Broken => ticket.fail(ErrorKind::Broken),
+        StreamEnd::Timeout => ticket.time_out(),
+        StreamEnd::Quarantined => drop(ticket),
     }
 }
--- /dev/null
+++ b/crates/gateway/src/serve/service.rs
@@ -0,0 +1,240 @@
+//! Admission of callers' requests.
+
+use std::cell::Cell;
+use std::sync::Arc;
+use std::time::Duration;
+
+use async_trait::async_trait;
+use bytes::Bytes;
+use http::header::HOST;
+use swiftlink_shell::web::{BodyError, Incoming, Response, Service};
+use swiftlink_telemetry::event;
+use tokio::time::Instant;
+
+use super::exchange::{Exchange, ForwardedRequest};
+use super::refusal::{Refusal, SERVER_RETRY};
+use crate::dialect::RequestMeta;
+use crate::domains::at_home;
+use crate::fingerprint::{Content, RequestIdentity};
+use crate::headroom::head_bytes;
+use crate::model::{Config, Route, Workspace};
+use crate::node::Node;
+use crate::rights::{NoRights, Patience, Remote, Spend};
+
+/// Maximum wait for quota, as a divisor of the route's target latency: a claim or a reservation
+/// takes 2 to 40 ms, and quota that hasn't arrived by then seldom does. A fifth and an eighth
+/// served equally many requests; the shorter wait refuses earlier.
+const QUOTA_WAIT_DIVISOR: u32 = 8;
+/// Minimum of that wait, also for routes with a short target latency: a claim begins up to 50 ms
+/// after the previous one and takes 10 ms while the store responds.
+const MIN_QUOTA_WAIT: Duration = Duration::from_millis(60);
+/// Maximum wait for an update of the configuration in a process that was stalled: the store
+/// responds in a few milliseconds, other routers in ten.
+const STALL_WAIT: Duration = Duration::from_millis(60);
+/// Jitter of retry times, over which callers that wait for the same event return.
+const RETRY_JITTER: Duration = Duration::from_millis(400);
+/// Timeout of a request whose caller specifies none, capped by that of its route.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Serves callers' requests.
+#[derive(Debug)]
+pub struct CallerService {
+    /// The state of the router.
+    pub node: Arc<Node>,
+    /// Reserves quota here and at other routers.
+    pub reserver: Arc<Remote>,
+}
+
+#[async_trait(?Send)]
+impl Service for CallerService {
+    async fn call(&self, request: Incoming) -> Response {
+        let start = Instant::now();
+        let guard = self.node.enter();
+        let id = request
+            .header(self.node.dialect.id_header())
+            .map(str::to_owned);
+        match self.admit(request, start).await {
+            Ok(exchange) => exchange.run(guard).await,
+            Err(refusal) => {
+                let id = id.as_deref().unwrap_or("-");
+                let ms = start.elapsed().as_millis();
+                let reason = refusal.as_str();
+                let config = self.node.config.load();
+                event!(
+                    info,
+                    "request.refused",
+                    id = id,
+                    reason = reason,
+                    config = config.as_ref().map_or(0, |config| config.version),
+                    config_age_ms = self.node.freshness.age().as_millis(),
+                    ms = ms,
+                );
+                self.node.metrics.refused(reason);
+                refusal.response()
+            }
+        }
+    }
+}
+
+impl CallerService {
+    /// Decides whether and where a request is sent, and reserves its quota.
+    async fn admit(&self, mut request: Incoming, start: Instant) -> Result<Exchange, Refusal> {
+        let node = &self.node;
+        node.freshness.after_standstill(STALL_WAIT).await;
+        if !node.freshness.is_confirmed() {
+            return Err(Refusal::NotReady);
+        }
+        let config = node.config.load_full().ok_or(Refusal::NotReady)?;
+        let route =
+            find_route(&config, &request).ok_or_else(|| self.unknown_or_stale(Refusal::NoRoute))?;
+        let meta = node.dialect.parse_request(request.headers());
+        let meta = meta.map_err(|reason| {
+            event!(info, "request.malformed", reason = reason);
+            Refusal::Malformed
+        })?;
+        let workspace = find_workspace(&config, &route, &meta);
+        let workspace = workspace.map_err(|refusal| self.unknown_or_stale(refusal))?;
+        let body = request
+            .body(config.limits.body)
+            .await
+            .map_err(body_refusal)?;
+        node.traffic
+            .received(head_bytes(request.headers()) + body.len());
+        let identity = Arc::new(identity(workspace.as_deref(), &request, &body));
+        if let Some(rest) = node.quarantine.rest(&identity) {
+            let print = identity.fingerprint();
+            event!(info, "request.held", id = meta.id(), print = print);
+            return Err(Refusal::Held(rest));
+        }
+        let time = meta.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let reservation = self.reserve(&route, workspace.as_deref(), &meta, time);
+        let reservation = reservation.await?;
+        let target = route.target(rand::random());
+        let target = target.ok_or(Refusal::NoServer(SERVER_RETRY))?;
+        let pool = node.pools.get(&target.pool);
+        let pool = pool.ok_or(Refusal::NoServer(SERVER_RETRY))?;
+        pool.on_request();
+        let workspace_regions = workspace
+            .as_ref()
+            .map_or(&[][..], |workspace| &workspace.homes);
+        let domains = at_home(&route.homes, workspace_regions, &node.settings.regions);
+        Ok(Exchange {
+            node: Arc::clone(node),
+            pool,
+            route,
+            workspace,
+            request: ForwardedRequest {
+                method: request.method().clone(),
+                uri: request.uri().clone(),
+                headers: request.headers().clone(),
+                body,
+            },
+            identity,
+            meta,
+            reservation,
+            domains,
+            version: config.version,
+            start,
+            deadline: start + time,
+            is_logged: Cell::new(false),
+        })
+    }
+
+    /// Refusal of a request whose route or key isn't in the configuration. If the configuration was
+    /// last confirmed longer ago than a change may take, the route or key may exist by now.
+    fn unknown_or_stale(&self, refusal: Refusal) -> Refusal {
+        if self.node.freshness.age() > self.node.settings.config_apply {
+            return Refusal::StaleConfig;
+        }
+        refusal
+    }
+
+    /// Reserves the maximum cost of the request.
+    async fn reserve(
+        &self,
+        route: &Route,
+        workspace: Option<&Workspace>,
+        meta: &RequestMeta,
+        time: Duration,
+    ) -> Result<Option<Spend>, Refusal> {
+        let (Some(workspace), Some(usage)) = (workspace, meta.usage) else {
+            return Ok(None);
+        };
+        let Some(quota) = self.node.quotas.get(&workspace.name) else {
+            return Ok(None);
+        };
+        let wait = (route.aim / QUOTA_WAIT_DIVISOR).max(MIN_QUOTA_WAIT);
+        let timeouts = Patience { wait, time };
+        let error = match self.reserver.reserve(&quota, usage, timeouts).await {
+            Ok(reservation) => return Ok(Some(reservation)),
+            Err(error) => error,
+        };
+        let refusal = match error.refusal {
+            NoRights::Spent { .. } => Refusal::BudgetSpent,
+            NoRights::Elsewhere => Refusal::NoQuota(error.back.map(with_jitter)),
+            NoRights::Away => Refusal::StoreUnavailable(error.back.map(with_jitter)),
+        };
+        let balance = quota.standing();
+        event!(
+            info,
+            "quota.missing",
+            id = meta.id(),
+            workspace = workspace.name,
+            cost = usage.max_total(),
+            available = quota.grant.available(),
+            reserved = balance.reserved,
+            locked = balance.locked,
+            cap_age_ms = balance.cap_age.unwrap_or(0),
+            rest = quota.rest(),
+            prepaid = quota.prepaid(),
+            read_age_ms = quota.read_age_ms(),
+            asked = error.asked,
+            back_ms = error.back.map_or(-1, |back| back.as_millis() as i64),
+            refusal = refusal.as_str(),
+        );
+        Err(refusal)
+    }
+}
+
+/// Adds jitter to a retry time: callers that are refused together would return together.
+fn with_jitter(back: Duration) -> Duration {
+    back + RETRY_JITTER.mul_f64(rand::random())
+}
+
+/// Identifies the request when its caller sends it again.
+fn identity(workspace: Option<&Workspace>, request: &Incoming, body: &Bytes) -> RequestIdentity {
+    RequestIdentity::new(Content {
+        workspace: workspace.map(|workspace| workspace.name.clone()),
+        method: request.method().clone(),
+        host: request.header(HOST.as_str()).unwrap_or("").to_owned(),
+        uri: request.uri().clone(),
+        body: body.clone(),
+    })
+}
+
+fn find_route(config: &Config, request: &Incoming) -> Option<Arc<Route>> {
+    let host = request.header(HOST.as_str())?;
+    let route = config.routes.find(host, request.uri().path())?;
+    Some(Arc::clone(route))
+}
+
+/// The workspace that is charged; `None` on a public route without a known key.
+fn find_workspace(
+    config: &Config,
+    route: &Route,
+    meta: &RequestMeta,
+) -> Result<Option<Arc<Workspace>>, Refusal> {
+    let known = meta.key.as_deref().and_then(|key| config.keys.get(key));
+    if known.is_none() && !route.public && !config.keys.is_empty() {
+        return Err(Refusal::NoKey);
+    }
+    Ok(known.cloned())
+}
+
+fn body_refusal(error: BodyError) -> Refusal {
+    match error {
+        BodyError::TooLarge => Refusal::TooLarge,
+        BodyError::Timeout => Refusal::SlowBody,
+        BodyError::Broken => Refusal::BrokenBody,
+    }
+}
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a router is told at its start.
+//! Settings of a router.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,78 +8,78 @@
 use swiftlink_types::{DomainName, RegionName, VmName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Settings of a router, as the adapter found them.
+/// Settings of a router, as the deployment's adapter provides them.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
-    /// VM that it runs on.
+    /// VM that the router runs on.
     pub vm: VmName,
     /// Failure domain of the VM.
     pub domain: DomainName,
-    /// Failure domains that there are, and the region of each; empty where that isn't told.
+    /// All failure domains and the region of each; empty if the deployment doesn't specify them.
     pub regions: HashMap<DomainName, RegionName>,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Address for readiness probes of the load balancer.
     pub readiness: SocketAddr,
-    /// Where metrics are served; nowhere without an address.
+    /// Address of the metrics endpoint; `None` disables it.
     pub metrics: Option<SocketAddr>,
-    /// Where other routers connect.
+    /// Address for other routers.
     pub peers: SocketAddr,
     /// Processor time of the VM, in thousandths of a core.
-    pub strength: u32,
-    /// Bytes a second that the VM's link carries each way; `None` where that isn't known.
+    pub cpu_millis: u32,
+    /// Bytes per second that the VM's network link carries each way; `None` if unknown.
     pub link: Option<u64>,
     /// Whether the whole fleet starts for the first time.
     pub bootstrap: bool,
-    /// Worker threads that serve callers.
+    /// Number of worker threads that serve callers.
     pub workers: usize,
-    /// Most open connections of callers.
+    /// Maximum number of open caller connections.
     pub connections: usize,
     /// Time within which a confirmed change of the configuration must be in force.
-    pub apply: Duration,
-    /// Time between SIGTERM and the forced end.
+    pub config_apply: Duration,
+    /// Time between SIGTERM and the forced exit.
     pub grace: Duration,
-    /// How many retries the whole fleet may send.
-    pub retries: RetryTerms,
-    /// How much of a pool's traffic a bad version may get; `None`: there are no roll-outs.
+    /// Limits on the retries of the whole fleet.
+    pub retries: RetryLimits,
+    /// How much of a pool's traffic a bad version may get; `None` disables rollouts.
     pub rollouts: Option<Terms>,
-    /// Partitions that the accounts' feed may have.
-    pub parts: u32,
+    /// Maximum number of partitions of the accounts feed.
+    pub partitions: u32,
 }
 
 impl RouterSettings {
-    /// Partition of the members' feed that the routers of a failure domain are in. Where the domains
-    /// aren't told nobody could know which partitions there are, so all are in the first.
+    /// Partition of the members feed that the routers of a failure domain are in. If the domains
+    /// aren't specified, the partitions in use are unknown, so all routers are in the first one.
     #[must_use]
-    pub fn members_part(&self, domain: &DomainName) -> u32 {
+    pub fn member_partition(&self, domain: &DomainName) -> u32 {
         if self.regions.is_empty() {
             return 0;
         }
         let hash = xxh3_64(domain.as_str().as_bytes());
-        (hash % u64::from(self.parts.max(1))) as u32
+        (hash % u64::from(self.partitions.max(1))) as u32
     }
 
-    /// All partitions of the members' feed, this router's own first.
+    /// All partitions of the members feed, starting with this router's own.
     #[must_use]
-    pub fn members_parts(&self) -> Vec<u32> {
-        let mut parts = vec![self.members_part(&self.domain)];
+    pub fn member_partitions(&self) -> Vec<u32> {
+        let mut partitions = vec![self.member_partition(&self.domain)];
         for domain in self.regions.keys() {
-            let part = self.members_part(domain);
-            if !parts.contains(&part) {
-                parts.push(part);
+            let partition = self.member_partition(domain);
+            if !partitions.contains(&partition) {
+                partitions.push(partition);
             }
         }
-        parts
+        partitions
     }
 }
 
-/// How many retries the whole fleet may send to a pool.
+/// Limits on the retries that the whole fleet may send to a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryTerms {
-    /// Retries for each request.
+pub struct RetryLimits {
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries in one window beyond that.
+    /// Additional retries per window.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of a window.
     pub window: Duration,
 }
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -1,77 +1,77 @@
-//! Cuts a stream of server-sent events at the ends of events.
+//! Splits a stream of server-sent events at event boundaries.
 //!
-//! An answer may go on at another server only after a whole event, so bytes are handed
-//! on event by event. They are not changed.
+//! A response may be resumed at another server only after a complete event, so bytes are passed
+//! on event by event, unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// What has passed of an event stream.
+/// Buffers a partial event and tracks the complete events of a stream.
 #[derive(Debug, Default)]
-pub struct EventCutter {
-    tail: BytesMut,
-    /// Bytes of the tail that were searched for an end.
+pub struct EventSplitter {
+    partial: BytesMut,
+    /// Bytes of `partial` that were already searched for an event boundary.
     searched: usize,
     events: u64,
-    last: Option<u64>,
+    last_id: Option<u64>,
 }
 
-impl EventCutter {
-    /// A cutter at the start of a stream.
+impl EventSplitter {
+    /// A splitter at the start of a stream.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the next bytes; gives all whole events that there are now, if any.
-    pub fn push(&mut self, piece: &[u8]) -> Option<Bytes> {
-        self.tail.extend_from_slice(piece);
-        let mut whole = 0;
+    /// Appends the next bytes and returns the events that are complete now, if any.
+    pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
+        self.partial.extend_from_slice(chunk);
+        let mut complete = 0;
         let mut at = self.searched.saturating_sub(3);
-        while let Some(end) = find_end(&self.tail, at) {
-            self.count(whole, end);
-            whole = end;
+        while let Some(end) = find_boundary(&self.partial, at) {
+            self.count(complete, end);
+            complete = end;
             at = end;
         }
-        if whole == 0 {
-            self.searched = self.tail.len();
+        if complete == 0 {
+            self.searched = self.partial.len();
             return None;
         }
-        let events = self.tail.split_to(whole);
-        self.searched = self.tail.len();
+        let events = self.partial.split_to(complete);
+        self.searched = self.partial.len();
         Some(events.freeze())
     }
 
-    /// Bytes after the last whole event, once the stream has ended.
-    pub fn rest(&mut self) -> Bytes {
+    /// Takes the bytes after the last complete event, once the stream has ended.
+    pub fn take_rest(&mut self) -> Bytes {
         self.searched = 0;
-        self.tail.split().freeze()
+        self.partial.split().freeze()
     }
 
-    /// Forgets the bytes after the last whole event: the stream goes on elsewhere.
+    /// Drops the bytes after the last complete event: another server resumes the stream.
     pub fn reset(&mut self) {
-        self.tail.clear();
+        self.partial.clear();
         self.searched = 0;
     }
 
-    /// Whole events that have passed.
+    /// Number of complete events so far.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event that had one.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     fn count(&mut self, start: usize, end: usize) {
         let mut is_data = false;
-        for line in self.tail[start..end].split(|byte| *byte == b'\n') {
+        for line in self.partial[start..end].split(|byte| *byte == b'\n') {
             if let Some(id) = line.strip_prefix(b"id:") {
                 let id = std::str::from_utf8(id).unwrap_or_default();
                 if let Ok(id) = id.trim().parse() {
-                    self.last = Some(id);
+                    self.last_id = Some(id);
                 }
             }
             is_data |= line.starts_with(b"data") || line.starts_with(b"id:");
@@ -80,8 +80,8 @@
     }
 }
 
-/// Offset behind the first empty line that ends at or after `from`.
-fn find_end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Offset just after the first empty line that ends at or after `from`.
+fn find_boundary(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(step) = bytes[at..].iter().position(|byte| *byte == b'\n') {
         let newline = at + step;
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop.
+//! Graceful shutdown.
 
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 
 use crate::router::Router;
 
-/// How long new connections may still come after the balancer can have noticed: it asks
-/// once a second and believes the second miss.
-const NOTICE: Duration = Duration::from_millis(2_200);
-/// What is left of the grace for giving rights back, and how long holders may take to hear of
-/// the last requests.
-const RIGHTS_TIME: Duration = Duration::from_millis(500);
-/// What is left of the grace when everything should be done.
+/// How long new connections may still arrive after the router turns unready: the load balancer
+/// probes once a second and acts on the second failure.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_200);
+/// Part of the grace period that is reserved for returning quota, and the maximum time for
+/// announcing the last requests to holders.
+const QUOTA_RETURN_TIME: Duration = Duration::from_millis(500);
+/// Part of the grace period that is left when the shutdown should be complete.
 const MARGIN: Duration = Duration::from_millis(300);
 
-/// Ends a router: unready at once, then no new connections, then the requests in flight,
-/// then its rights go back.
+/// Shuts a router down: turns unready at once, then refuses new connections, completes the
+/// requests in flight, and returns the quota.
 pub(crate) async fn stop(router: Router) {
     let Router {
         node,
@@ -26,19 +26,19 @@
         readiness,
         metrics,
         claims,
-        remote,
+        reserver,
         mut tasks,
     } = router;
     let end = Instant::now() + node.settings.grace.saturating_sub(MARGIN);
     node.is_stopping.store(true, Relaxed);
     event!(info, "router.stopping", in_flight = node.in_flight());
-    sleep(NOTICE.min(node.settings.grace / 3)).await;
+    sleep(BALANCER_DELAY.min(node.settings.grace / 3)).await;
     let left = end.saturating_duration_since(Instant::now());
-    callers.stop(left.saturating_sub(RIGHTS_TIME)).await;
-    // What holders hear later counts as spent.
-    remote.flush(RIGHTS_TIME).await;
+    callers.stop(left.saturating_sub(QUOTA_RETURN_TIME)).await;
+    // Holders count as spent what they aren't told by then.
+    reserver.flush(QUOTA_RETURN_TIME).await;
     let left = end.saturating_duration_since(Instant::now());
-    claims.stop(left.max(RIGHTS_TIME)).await;
+    claims.stop(left.max(QUOTA_RETURN_TIME)).await;
     tasks.shutdown().await;
     readiness.stop(Duration::ZERO).await;
     if let Some(metrics) = metrics {
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,9 +1,9 @@
 //! HTTP/1 connections to backend servers and to peer routers.
 //!
-//! Idle connections are kept per thread, so that the request path takes no lock
-//! and a connection's driver runs on the thread that uses it. A failure says
-//! whether the request can have reached the other side: only a request that
-//! certainly did not may be sent elsewhere when it must not run twice.
+//! Idle connections are pooled per thread, so that the request path takes no lock
+//! and a connection's driver runs on the thread that uses it. An error tells
+//! whether the request may have reached the other side: a request that must not run
+//! twice may be sent elsewhere only if it certainly has not.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,49 +24,49 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::clock::steady_millis;
-use crate::standing::{Bar, Standing};
+use crate::eligibility::{BlockReason, Eligibility};
 
-/// Idle connections kept per thread and endpoint.
-const IDLE_MAX: usize = 64;
-/// How long an idle connection is kept when the other side doesn't say how long it
-/// keeps it.
-const IDLE_TIME: Duration = Duration::from_secs(60);
-/// Time between two looks for idle connections that are over: each is a descriptor.
-const PRUNE_PERIOD: Duration = Duration::from_secs(5);
+/// Maximum number of idle connections per thread and endpoint.
+const MAX_IDLE: usize = 64;
+/// How long an idle connection is kept if the other side doesn't specify a timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two searches for expired idle connections, each of which holds a file descriptor.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why no answer head came back.
+/// Why no response head was received.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request left this process: the other side refused or closed.
+    /// No byte of the request left this process: the other side refused or closed the connection.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// There was no connection in time, and no byte of the request left this process.
+    /// No connection was made in time, and no byte of the request left this process.
     #[error("not sent: no connection in time")]
     Unreachable,
-    /// The server may get no request now, and no byte of it left this process.
+    /// The server may get no requests now, and no byte of this one left this process.
     #[error("not sent: {0}")]
-    Withheld(Bar),
-    /// The request was sent, in part or in whole, and no answer came back.
+    Withheld(BlockReason),
+    /// The request was sent, in part or in whole, and no response came back.
     #[error("lost after sending: {0}")]
     Lost(String),
-    /// The request was sent, and no answer came in time.
+    /// The request was sent, and no response came in time.
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
 }
 
 impl SendError {
-    /// What happened, for logs and answers.
+    /// What happened, for logs and responses.
     #[must_use]
-    pub fn why(&self) -> &str {
+    pub fn detail(&self) -> &str {
         match self {
-            Self::NotSent(why) | Self::Lost(why) => why,
+            Self::NotSent(detail) | Self::Lost(detail) => detail,
             Self::Unreachable => "no connection in time",
-            Self::Withheld(bar) => bar.as_str(),
-            Self::Silent => "no answer in time",
+            Self::Withheld(reason) => reason.as_str(),
+            Self::TimedOut => "no answer in time",
         }
     }
 
-    /// What it says of the server; `None` where that is nothing.
+    /// Kind of server error for the load balancing; `None` if the error says nothing about the
+    /// server.
     #[must_use]
     pub fn kind(&self) -> Option<ErrorKind> {
         match self {
@@ -74,37 +74,40 @@
             Self::Unreachable => Some(ErrorKind::Unreachable),
             Self::Withheld(_) => None,
             Self::Lost(_) => Some(ErrorKind::Broken),
-            Self::Silent => Some(ErrorKind::Timeout),
+            Self::TimedOut => Some(ErrorKind::Timeout),
         }
     }
 }
 
-/// Who is reached at an address. A connection is used for the start of the server that it was
-/// opened to and no other: one to a start that ended behind a cut looks open, and a request
-/// sent on it is lost.
+/// A server instance at an address. A connection is reused only for the instance that it was
+/// opened to: when an instance ends behind a network partition, its connections still look open,
+/// and a request sent on one is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Endpoint {
     address: SocketAddr,
-    /// Hash of the name and the start of the server; 0: whoever listens.
-    start: u64,
+    /// Hash of the server's name and start time; 0 for whichever process listens.
+    instance: u64,
 }
 
 impl Endpoint {
-    /// A start of a server.
+    /// The endpoint of a server instance.
     #[must_use]
-    pub fn of(address: SocketAddr, start: &Start) -> Self {
-        let name = start.name.as_str().as_bytes();
+    pub fn of(address: SocketAddr, instance: &Start) -> Self {
+        let name = instance.name.as_str().as_bytes();
         Self {
             address,
-            start: xxh3_64_with_seed(name, start.born),
+            instance: xxh3_64_with_seed(name, instance.born),
         }
     }
 }
 
-/// Whoever listens at an address.
+/// Whichever process listens at an address.
 impl From<SocketAddr> for Endpoint {
     fn from(address: SocketAddr) -> Self {
-        Self { address, start: 0 }
+        Self {
+            address,
+            instance: 0,
+        }
     }
 }
 
@@ -113,20 +116,20 @@
 /// A connection that no request uses.
 struct Idle {
     sender: Sender,
-    /// The other side may close it from then on, also while this VM is suspended, in
-    /// milliseconds of the VM's steady clock.
-    until: u64,
+    /// When the other side may close it, in milliseconds of the VM's steady clock, which also
+    /// advances while this VM is suspended.
+    expires: u64,
 }
 
 impl Idle {
     fn is_usable(&self, now: u64) -> bool {
-        !self.sender.is_closed() && now < self.until
+        !self.sender.is_closed() && now < self.expires
     }
 }
 
-/// Why requests to a server have to stay here; none to whoever listens at an address.
-fn bar(standing: Option<&Standing>) -> Option<Bar> {
-    standing.and_then(Standing::bar)
+/// Why no request may go to the server; `None` if one may, or if the recipient isn't a server.
+fn block_reason(eligibility: Option<&Eligibility>) -> Option<BlockReason> {
+    eligibility.and_then(Eligibility::block_reason)
 }
 
 /// The idle connections of a thread.
@@ -146,7 +149,7 @@
     fn put(&mut self, endpoint: Endpoint, idle: Idle) {
         self.prune();
         let list = self.lists.entry(endpoint).or_default();
-        if list.len() < IDLE_MAX {
+        if list.len() < MAX_IDLE {
             list.push(idle);
         }
     }
@@ -162,10 +165,10 @@
         None
     }
 
-    /// Drops what can't be used any more, with the endpoints that are gone.
+    /// Drops connections that can't be reused, and endpoints without connections.
     fn prune(&mut self) {
         let now = Instant::now();
-        if now < self.pruned_at + PRUNE_PERIOD {
+        if now < self.pruned_at + PRUNE_INTERVAL {
             return;
         }
         self.pruned_at = now;
@@ -181,19 +184,19 @@
     static IDLE: RefCell<IdlePool> = RefCell::new(IdlePool::new());
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 ///
-/// Hand the connection back with [`Lease::recycle`] after the body's end.
+/// Return the connection to the pool with [`Lease::recycle`] after the end of the body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct PendingResponse {
     /// Head and body.
     pub response: Response<Incoming>,
     endpoint: Endpoint,
     sender: Option<Sender>,
 }
 
-impl Answer {
-    /// Splits the answer into its response and the lease of its connection.
+impl PendingResponse {
+    /// Splits it into the response and the lease of its connection.
     #[must_use]
     pub fn split(self) -> (Response<Incoming>, Lease) {
         let lease = Lease {
@@ -204,7 +207,7 @@
     }
 }
 
-/// A connection in use by an answer.
+/// A connection in use by a response.
 #[derive(Debug)]
 pub struct Lease {
     endpoint: Endpoint,
@@ -212,38 +215,38 @@
 }
 
 impl Lease {
-    /// Keeps the connection for the next request; call it once the body has ended.
+    /// Returns the connection to the pool for the next request; call it once the body has ended.
     pub fn recycle(&mut self) {
-        self.recycle_for(IDLE_TIME);
+        self.recycle_for(DEFAULT_IDLE_TIMEOUT);
     }
 
-    /// Like [`Self::recycle`], for no longer than `keep`.
-    pub fn recycle_for(&mut self, keep: Duration) {
+    /// Like [`Self::recycle`], but keeps the idle connection for no longer than `timeout`.
+    pub fn recycle_for(&mut self, timeout: Duration) {
         let Some(sender) = self.sender.take() else {
             return;
         };
         if sender.is_closed() {
             return;
         }
-        let until = steady_millis() + keep.as_millis() as u64;
-        let idle = Idle { sender, until };
+        let expires = steady_millis() + timeout.as_millis() as u64;
+        let idle = Idle { sender, expires };
         IDLE.with_borrow_mut(|pool| pool.put(self.endpoint, idle));
     }
 }
 
-/// How a request may use connections and time.
+/// Timeouts and connection reuse of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct SendOptions {
-    /// Longest time for a new connection.
+    /// Maximum time for opening a connection.
     pub connect: Duration,
-    /// Longest time from sending to the answer's head.
+    /// Maximum time from sending to the head of the response.
     pub head: Duration,
     /// Never reuse an idle connection: the other side may be closing it, and
-    /// then the end of a request sent on it isn't known.
+    /// then the outcome of a request sent on it is unknown.
     pub fresh: bool,
 }
 
-/// Sends `request` to `endpoint` and waits for the answer's head.
+/// Sends `request` to `endpoint` and waits for the head of the response.
 ///
 /// # Errors
 /// See [`SendError`].
@@ -251,31 +254,32 @@
     endpoint: impl Into<Endpoint>,
     request: Request<Full<Bytes>>,
     options: SendOptions,
-) -> Result<Answer, SendError> {
+) -> Result<PendingResponse, SendError> {
     send_within(endpoint.into(), None, request, options).await
 }
 
-/// The same to a server, unless its `standing` bars that when the request would leave.
+/// Like [`send`], but fails without sending if the server isn't eligible when the request would
+/// leave.
 ///
 /// # Errors
 /// See [`SendError`].
 pub async fn send_to(
-    standing: Standing,
+    eligibility: Eligibility,
     endpoint: Endpoint,
     request: Request<Full<Bytes>>,
     options: SendOptions,
-) -> Result<Answer, SendError> {
-    send_within(endpoint, Some(standing), request, options).await
+) -> Result<PendingResponse, SendError> {
+    send_within(endpoint, Some(eligibility), request, options).await
 }
 
 async fn send_within(
     endpoint: Endpoint,
-    standing: Option<Standing>,
+    eligibility: Option<Eligibility>,
     request: Request<Full<Bytes>>,
     options: SendOptions,
-) -> Result<Answer, SendError> {
-    if let Some(bar) = bar(standing.as_ref()) {
-        return Err(SendError::Withheld(bar));
+) -> Result<PendingResponse, SendError> {
+    if let Some(reason) = block_reason(eligibility.as_ref()) {
+        return Err(SendError::Withheld(reason));
     }
     let mut request = request;
     if !options.fresh {
@@ -283,81 +287,84 @@
             if sender.ready().await.is_err() {
                 continue;
             }
-            match attempt(sender, request, endpoint, &standing, options.head).await {
-                Ok(answer) => return Ok(answer),
-                Err(Failed::Withheld(bar)) => return Err(SendError::Withheld(bar)),
-                Err(Failed::Returned(back)) => request = *back,
-                Err(Failed::Gone(error)) => return Err(SendError::Lost(error)),
-                Err(Failed::Silent) => return Err(SendError::Silent),
+            match send_on(sender, request, endpoint, &eligibility, options.head).await {
+                Ok(response) => return Ok(response),
+                Err(AttemptError::Withheld(reason)) => return Err(SendError::Withheld(reason)),
+                Err(AttemptError::Returned(back)) => request = *back,
+                Err(AttemptError::Lost(error)) => return Err(SendError::Lost(error)),
+                Err(AttemptError::TimedOut) => return Err(SendError::TimedOut),
             }
         }
     }
     let sender = connect(endpoint.address, options.connect).await?;
-    match attempt(sender, request, endpoint, &standing, options.head).await {
-        Ok(answer) => Ok(answer),
-        Err(Failed::Withheld(bar)) => Err(SendError::Withheld(bar)),
-        Err(Failed::Returned(_)) => Err(SendError::NotSent("connection closed".to_owned())),
-        Err(Failed::Gone(error)) => Err(SendError::Lost(error)),
-        Err(Failed::Silent) => Err(SendError::Silent),
+    match send_on(sender, request, endpoint, &eligibility, options.head).await {
+        Ok(response) => Ok(response),
+        Err(AttemptError::Withheld(reason)) => Err(SendError::Withheld(reason)),
+        Err(AttemptError::Returned(_)) => Err(SendError::NotSent("connection closed".to_owned())),
+        Err(AttemptError::Lost(error)) => Err(SendError::Lost(error)),
+        Err(AttemptError::TimedOut) => Err(SendError::TimedOut),
     }
 }
 
-enum Failed {
-    Withheld(Bar),
+/// Why an attempt on one connection failed.
+enum AttemptError {
+    Withheld(BlockReason),
+    /// The connection was closed before any byte left; the request may be sent on another one.
     Returned(Box<Request<Full<Bytes>>>),
-    Gone(String),
-    Silent,
+    Lost(String),
+    TimedOut,
 }
 
-async fn attempt(
+async fn send_on(
     mut sender: Sender,
     request: Request<Full<Bytes>>,
     endpoint: Endpoint,
-    standing: &Option<Standing>,
+    eligibility: &Option<Eligibility>,
     head: Duration,
-) -> Result<Answer, Failed> {
-    // The bytes leave now, whenever the server was chosen.
-    if let Some(bar) = bar(standing.as_ref()) {
-        return Err(Failed::Withheld(bar));
+) -> Result<PendingResponse, AttemptError> {
+    // Time may have passed since the server was chosen, and the bytes leave now.
+    if let Some(reason) = block_reason(eligibility.as_ref()) {
+        return Err(AttemptError::Withheld(reason));
     }
     let sent = timeout(head, sender.try_send_request(request)).await;
     let Ok(sent) = sent else {
-        return Err(Failed::Silent);
+        return Err(AttemptError::TimedOut);
     };
     match sent {
-        Ok(response) => Ok(Answer {
+        Ok(response) => Ok(PendingResponse {
             response,
             endpoint,
             sender: Some(sender),
         }),
         Err(mut error) => match error.take_message() {
-            Some(back) => Err(Failed::Returned(Box::new(back))),
-            None => Err(Failed::Gone(error.error().to_string())),
+            Some(back) => Err(AttemptError::Returned(Box::new(back))),
+            None => Err(AttemptError::Lost(error.error().to_string())),
         },
     }
 }
 
-/// Whether somebody listens at an address.
+/// Whether a process listens at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum ListenerState {
     /// A connection was made.
-    Here,
-    /// The connection was refused: the VM is there, and nobody listens.
-    Gone,
-    /// No connection in time, or none for another reason.
+    Listening,
+    /// The connection was refused: the VM is up, and no process listens.
+    Refused,
+    /// No connection was made in time, or it failed for another reason.
     Unknown,
 }
 
-/// Longest time to find out whether somebody listens; within a region it takes a millisecond or
-/// two.
-const ASK_TIME: Duration = Duration::from_millis(400);
+/// Maximum time of a probe; within a region one takes a millisecond or two.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Asks whether somebody still listens at an address.
-pub async fn ask(endpoint: Endpoint) -> Presence {
-    match timeout(ASK_TIME, TcpStream::connect(endpoint.address)).await {
-        Ok(Ok(_closed)) => Presence::Here,
-        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Presence::Gone,
-        Ok(Err(_)) | Err(_) => Presence::Unknown,
+/// Checks whether a process still listens at an address.
+pub async fn probe(endpoint: Endpoint) -> ListenerState {
+    match timeout(PROBE_TIMEOUT, TcpStream::connect(endpoint.address)).await {
+        Ok(Ok(_closed)) => ListenerState::Listening,
+        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
+            ListenerState::Refused
+        }
+        Ok(Err(_)) | Err(_) => ListenerState::Unknown,
     }
 }
 
@@ -373,7 +380,7 @@
         .await
         .map_err(|error| SendError::NotSent(format!("handshake: {error}")))?;
     tokio::spawn(async move {
-        // An error here also reaches the request that uses the connection.
+        // The request that uses the connection gets the error too.
         let _ended = connection.await;
     });
     Ok(sender)
--- a/crates/gateway/tests/testsuite/clock.rs
+++ b/crates/gateway/tests/testsuite/clock.rs
@@ -1,4 +1,4 @@
-//! A VM's clocks that go by tokio's time, lose power and jump as told.
+//! Simulated clocks of a VM on top of tokio's time, with power losses, jumps and suspensions.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use swiftlink_gateway::clock::{Clock, Reading, SystemClock};
 use tokio::time::Instant;
 
-/// Start of all times of day, in milliseconds.
-const EPOCH: u64 = 1_700_000_000_000;
+/// Initial wall-clock time, in milliseconds since the Unix epoch.
+const WALL_START: u64 = 1_700_000_000_000;
 
 #[derive(Debug)]
 pub(crate) struct TestClock {
-    began: Instant,
+    started: Instant,
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
     boots: u64,
-    /// Added to the time since `began` for the steady clock.
+    /// Added to the time since `started` for the steady clock, in milliseconds.
     steady: u64,
-    /// The same for the time of day, beside [`EPOCH`].
+    /// Added to the time since `started` and [`WALL_START`] for the wall clock, in milliseconds.
     jump: i64,
     suspended: Duration,
 }
@@ -29,7 +29,7 @@
 impl TestClock {
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(Self {
-            began: Instant::now(),
+            started: Instant::now(),
             state: Mutex::new(State {
                 boots: 1,
                 steady: 0,
@@ -39,19 +39,19 @@
         })
     }
 
-    /// The VM loses power; its steady clock begins at `steady` milliseconds.
+    /// Reboots the VM; its steady clock restarts at `steady` milliseconds.
     pub(crate) fn lose_power(&self, steady: u64) {
         let mut state = self.state.lock().expect("a lock");
         state.boots += 1;
         state.steady = steady;
     }
 
-    /// The time of day is `millis` off from now on.
+    /// Sets the offset of the wall clock.
     pub(crate) fn set_jump(&self, millis: i64) {
         self.state.lock().expect("a lock").jump = millis;
     }
 
-    /// The VM was suspended for so long, which tokio's time doesn't count.
+    /// Suspends the VM for this time, which tokio's time doesn't count.
     pub(crate) fn suspend(&self, time: Duration) {
         let mut state = self.state.lock().expect("a lock");
         state.steady += time.as_millis() as u64;
@@ -59,14 +59,14 @@
         state.suspended += time;
     }
 
-    fn age(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+    fn uptime(&self) -> u64 {
+        self.started.elapsed().as_millis() as u64
     }
 }
 
 impl Clock for TestClock {
     fn steady(&self) -> u64 {
-        self.age() + self.state.lock().expect("a lock").steady
+        self.uptime() + self.state.lock().expect("a lock").steady
     }
 
     fn suspended(&self) -> Duration {
@@ -79,15 +79,15 @@
         Reading {
             boot: Arc::from(format!("boot-{}", state.boots)),
             steady,
-            wall: EPOCH.saturating_add_signed(self.age() as i64 + state.jump),
+            wall: WALL_START.saturating_add_signed(self.uptime() as i64 + state.jump),
         }
     }
 }
 
-/// What a process has spent at most is worked out from the time that has passed. A clock that
-/// stops while the VM is suspended told too little of it.
+/// The maximum that a process may have spent is computed from the elapsed time. A clock that
+/// stops while the VM is suspended underestimates it.
 #[test]
-fn the_steady_clock_counts_the_time_for_which_the_vm_is_suspended() {
+fn the_steady_clock_counts_the_time_that_the_vm_is_suspended() {
     let now = || {
         let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has this clock");
         Duration::from(now).as_millis() as u64
--- a/crates/gateway/tests/testsuite/main.rs
+++ b/crates/gateway/tests/testsuite/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the router core, one file a topic; the way of a request over sockets is
-//! tested in the adapter's suite.
+//! Tests of the router core, one file per topic. Requests over sockets are tested in the
+//! adapter's suite.
 
 mod accounts;
 mod book;
--- a/crates/gateway/tests/testsuite/proof.rs
+++ b/crates/gateway/tests/testsuite/proof.rs
@@ -1,45 +1,50 @@
-//! What an outcome proves.
+//! Execution and retry rules of attempt outcomes.
 
 use swiftlink_gateway::model::Replay;
-use swiftlink_gateway::proof::{Outcome, Ran};
+use swiftlink_gateway::outcome::{Execution, Outcome};
 
-const NOT_RUN: [Outcome; 3] = [Outcome::NotSent, Outcome::Shed, Outcome::Misdirected];
-const MAYBE: [Outcome; 3] = [Outcome::Lost, Outcome::Silent, Outcome::Stray];
-const RAN: [Outcome; 3] = [Outcome::Truncated, Outcome::Failed, Outcome::Served];
+const NOT_EXECUTED: [Outcome; 3] = [Outcome::NotSent, Outcome::Shed, Outcome::Misdirected];
+const MAYBE_EXECUTED: [Outcome; 3] = [Outcome::Lost, Outcome::TimedOut, Outcome::Mismatched];
+const EXECUTED: [Outcome; 3] = [Outcome::Truncated, Outcome::Failed, Outcome::Served];
 
 #[test]
-fn only_what_a_server_never_took_up_has_not_run() {
-    for outcome in NOT_RUN {
-        assert_eq!(outcome.ran(), Ran::No, "{outcome:?}");
+fn only_a_request_that_no_server_accepted_was_not_executed() {
+    for outcome in NOT_EXECUTED {
+        assert_eq!(outcome.execution(), Execution::No, "{outcome:?}");
     }
-    for outcome in MAYBE {
-        assert_eq!(outcome.ran(), Ran::Maybe, "{outcome:?}");
+    for outcome in MAYBE_EXECUTED {
+        assert_eq!(outcome.execution(), Execution::Maybe, "{outcome:?}");
     }
-    for outcome in RAN {
-        assert_eq!(outcome.ran(), Ran::Yes, "{outcome:?}");
+    for outcome in EXECUTED {
+        assert_eq!(outcome.execution(), Execution::Yes, "{outcome:?}");
     }
 }
 
 #[test]
-fn only_a_request_that_was_not_sent_has_not_arrived() {
-    let others = NOT_RUN.into_iter().chain(MAYBE).chain(RAN);
-    let never: Vec<_> = others.filter(|outcome| !outcome.has_arrived()).collect();
+fn only_a_request_that_was_not_sent_cannot_have_arrived() {
+    let others = NOT_EXECUTED
+        .into_iter()
+        .chain(MAYBE_EXECUTED)
+        .chain(EXECUTED);
+    let never: Vec<_> = others
+        .filter(|outcome| !outcome.may_have_arrived())
+        .collect();
     assert_eq!(never, [Outcome::NotSent]);
 }
 
 #[test]
-fn what_may_run_once_is_sent_again_only_when_it_has_not_run() {
-    for outcome in NOT_RUN {
+fn a_non_idempotent_request_is_retried_only_if_it_was_not_executed() {
+    for outcome in NOT_EXECUTED {
         assert!(outcome.may_retry(Replay::Never), "{outcome:?}");
     }
-    for outcome in MAYBE.into_iter().chain(RAN) {
+    for outcome in MAYBE_EXECUTED.into_iter().chain(EXECUTED) {
         assert!(!outcome.may_retry(Replay::Never), "{outcome:?}");
     }
 }
 
 #[test]
-fn an_idempotent_call_is_sent_again_after_all_but_success() {
-    for outcome in NOT_RUN.into_iter().chain(MAYBE) {
+fn an_idempotent_request_is_retried_after_anything_but_success() {
+    for outcome in NOT_EXECUTED.into_iter().chain(MAYBE_EXECUTED) {
         assert!(outcome.may_retry(Replay::Whole), "{outcome:?}");
     }
     assert!(outcome_retries(Outcome::Failed));
@@ -48,7 +53,7 @@
 }
 
 #[test]
-fn a_stream_goes_on_after_a_break_but_not_after_a_servers_failure() {
+fn a_stream_is_resumed_after_a_break_but_not_after_a_failure_of_the_server() {
     assert!(Outcome::Truncated.may_retry(Replay::Resume));
     assert!(Outcome::Lost.may_retry(Replay::Resume));
     assert!(!Outcome::Failed.may_retry(Replay::Resume));
--- a/crates/gateway/tests/testsuite/sse.rs
+++ b/crates/gateway/tests/testsuite/sse.rs
@@ -1,54 +1,54 @@
-//! Cutting event streams.
+//! Splitting event streams.
 
 use proptest::prelude::*;
-use swiftlink_gateway::sse::EventCutter;
+use swiftlink_gateway::sse::EventSplitter;
 
 #[test]
-fn a_partial_event_is_kept_back() {
-    let mut cutter = EventCutter::new();
-    let out = cutter
+fn a_partial_event_is_held_back() {
+    let mut splitter = EventSplitter::new();
+    let out = splitter
         .push(b"id: 1\ndata: a\n\nid: 2\nda")
         .expect("an event");
     assert_eq!(&out[..], b"id: 1\ndata: a\n\n");
-    assert_eq!((cutter.events(), cutter.last()), (1, Some(1)));
+    assert_eq!((splitter.events(), splitter.last_id()), (1, Some(1)));
 
-    let out = cutter.push(b"ta: b\n\n").expect("an event");
+    let out = splitter.push(b"ta: b\n\n").expect("an event");
     assert_eq!(&out[..], b"id: 2\ndata: b\n\n");
-    assert_eq!((cutter.events(), cutter.last()), (2, Some(2)));
-    assert!(cutter.rest().is_empty());
+    assert_eq!((splitter.events(), splitter.last_id()), (2, Some(2)));
+    assert!(splitter.take_rest().is_empty());
 }
 
 #[test]
 fn a_reset_drops_the_partial_event_only() {
-    let mut cutter = EventCutter::new();
-    assert!(cutter.push(b"id: 4\ndata: x\n\nid: 5\ndat").is_some());
-    cutter.reset();
-    let out = cutter.push(b"id: 5\ndata: y\n\n").expect("an event");
+    let mut splitter = EventSplitter::new();
+    assert!(splitter.push(b"id: 4\ndata: x\n\nid: 5\ndat").is_some());
+    splitter.reset();
+    let out = splitter.push(b"id: 5\ndata: y\n\n").expect("an event");
     assert_eq!(&out[..], b"id: 5\ndata: y\n\n");
-    assert_eq!(cutter.last(), Some(5));
+    assert_eq!(splitter.last_id(), Some(5));
 }
 
 #[test]
-fn a_comment_is_no_event() {
-    let mut cutter = EventCutter::new();
-    assert!(cutter.push(b": ping\n\n").is_some());
-    assert_eq!(cutter.events(), 0);
+fn a_comment_is_not_counted_as_an_event() {
+    let mut splitter = EventSplitter::new();
+    assert!(splitter.push(b": ping\n\n").is_some());
+    assert_eq!(splitter.events(), 0);
 }
 
 #[test]
 fn lines_may_end_with_a_carriage_return() {
-    let mut cutter = EventCutter::new();
-    let out = cutter
+    let mut splitter = EventSplitter::new();
+    let out = splitter
         .push(b"id: 7\r\ndata: a\r\n\r\nid: 8")
         .expect("an event");
     assert_eq!(&out[..], b"id: 7\r\ndata: a\r\n\r\n");
-    assert_eq!(cutter.last(), Some(7));
+    assert_eq!(splitter.last_id(), Some(7));
 }
 
 proptest! {
-    /// However the bytes arrive, they come out unchanged and all events are counted.
+    /// Bytes come out unchanged and all events are counted, however the input is split.
     #[test]
-    fn bytes_pass_unchanged_in_any_pieces(
+    fn bytes_pass_unchanged_in_any_chunks(
         ids in prop::collection::vec(0_u64..1_000, 0..20),
         cuts in prop::collection::vec(1_usize..40, 1..60),
         tail in "[a-z: ]{0,10}",
@@ -58,22 +58,22 @@
             text.push_str(&format!("id: {id}\ndata: t{id}\n\n"));
         }
         text.push_str(&tail);
-        let mut cutter = EventCutter::new();
+        let mut splitter = EventSplitter::new();
         let mut out = Vec::new();
-        let mut left = text.as_bytes();
+        let mut input = text.as_bytes();
         let mut cuts = cuts.iter().cycle();
-        while !left.is_empty() {
-            let size = (*cuts.next().expect("a cycle never ends")).min(left.len());
-            let (piece, rest) = left.split_at(size);
-            left = rest;
-            if let Some(events) = cutter.push(piece) {
+        while !input.is_empty() {
+            let size = (*cuts.next().expect("a cycle never ends")).min(input.len());
+            let (chunk, rest) = input.split_at(size);
+            input = rest;
+            if let Some(events) = splitter.push(chunk) {
                 prop_assert!(events.ends_with(b"\n\n"));
                 out.extend_from_slice(&events);
             }
         }
-        out.extend_from_slice(&cutter.rest());
+        out.extend_from_slice(&splitter.take_rest());
         prop_assert_eq!(out, text.as_bytes());
-        prop_assert_eq!(cutter.events(), ids.len() as u64);
-        prop_assert_eq!(cutter.last(), ids.last().copied());
+        prop_assert_eq!(splitter.events(), ids.len() as u64);
+        prop_assert_eq!(splitter.last_id(), ids.last().copied());
     }
 }
--- a/crates/gateway/tests/testsuite/table.rs
+++ b/crates/gateway/tests/testsuite/table.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request.
+//! Route matching.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     }
 }
 
-fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
+fn find(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.find(host, path).map(|route| route.name.to_string())
 }
 
@@ -38,25 +38,22 @@
         route("deep", "a.example", "/x/y/"),
         route("flat", "a.example", "/x/"),
     ]);
-    assert_eq!(
-        found(&table, "a.example", "/x/y/z"),
-        Some("deep".to_owned())
-    );
-    assert_eq!(found(&table, "a.example", "/x/z"), Some("flat".to_owned()));
-    assert_eq!(found(&table, "a.example", "/xx"), Some("all".to_owned()));
+    assert_eq!(find(&table, "a.example", "/x/y/z"), Some("deep".to_owned()));
+    assert_eq!(find(&table, "a.example", "/x/z"), Some("flat".to_owned()));
+    assert_eq!(find(&table, "a.example", "/xx"), Some("all".to_owned()));
 }
 
 #[test]
-fn a_prefix_takes_whole_segments_only() {
+fn a_prefix_matches_whole_segments_only() {
     let table = RouteTable::new(vec![route("flat", "a.example", "/x/")]);
-    assert_eq!(found(&table, "a.example", "/x"), None);
-    assert_eq!(found(&table, "a.example", "/xy/"), None);
+    assert_eq!(find(&table, "a.example", "/x"), None);
+    assert_eq!(find(&table, "a.example", "/xy/"), None);
 }
 
 #[test]
-fn another_hosts_routes_are_not_used() {
+fn routes_of_another_host_do_not_match() {
     let table = RouteTable::new(vec![route("flat", "a.example", "/")]);
-    assert_eq!(found(&table, "b.example", "/"), None);
+    assert_eq!(find(&table, "b.example", "/"), None);
 }
 
 #[test]
@@ -80,14 +77,14 @@
 }
 
 #[test]
-fn a_split_route_without_weight_still_has_a_target() {
+fn a_split_route_with_zero_weights_has_a_target() {
     let mut split = route("split", "a.example", "/");
     split.targets[0].weight = 0;
     assert!(split.target(0.5).is_some());
 }
 
 #[test]
-fn only_streams_that_say_so_are_resumed() {
+fn only_resumable_streams_are_resumed() {
     let mut stream = route("stream", "a.example", "/");
     stream.kind = RouteKind::Streaming;
     assert_eq!(stream.replay(), Replay::Never);
