--- a/crates/gateway/src/quota/local/reserve.rs
+++ b/crates/gateway/src/quota/local/reserve.rs
@@ -30,7 +30,7 @@
             return Ok(reservation);
         }
         let remaining = self.remaining();
-        if remaining < usage.most() {
+        if remaining < usage.max_total() {
             return Err(QuotaError::Exhausted { remaining });
         }
         if self.is_withdrawn() {
@@ -45,7 +45,7 @@
         usage: Usage,
         wait: Duration,
     ) -> Result<Reservation, QuotaError> {
-        let cost = usage.most();
+        let cost = usage.max_total();
         let until = Instant::now() + wait;
         self.grant.miss(cost);
         let _waiting = Waiting::enter(&self.waiting, cost);
@@ -84,7 +84,7 @@
 
     /// Reserves the highest cost of `usage` if the quota covers it now.
     pub(crate) fn try_reserve(self: &Arc<Self>, usage: Usage) -> Option<Reservation> {
-        let cost = usage.most();
+        let cost = usage.max_total();
         self.largest.fetch_max(cost, Relaxed);
         if self.grant.reserve(cost).is_none() {
             self.unlock_with(&mut self.caps());
--- a/crates/gateway/src/quota/reserver.rs
+++ b/crates/gateway/src/quota/reserver.rs
@@ -192,7 +192,7 @@
             }
         };
         reserved.map_err(|reason| {
-            if let Some(time) = quota.unlocks_in(usage.most()) {
+            if let Some(time) = quota.unlocks_in(usage.max_total()) {
                 asked.add_retry(time);
             }
             ReserveError {
@@ -311,7 +311,7 @@
         time: Duration,
         wait: Duration,
     ) -> Answer {
-        let tokens = usage.most();
+        let tokens = usage.max_total();
         let mut reservation = RemoteReservation {
             reserver: Arc::clone(self),
             vm: vm.clone(),
--- a/crates/gateway/src/rollout/tell.rs
+++ b/crates/gateway/src/rollout/tell.rs
@@ -53,7 +53,7 @@
             };
             is_running |= !stage.is_final();
             let leaders = node
-                .books
+                .quotas
                 .placement()
                 .top_ranked(pool.name.as_str(), LEADERS);
             let report = pool.lane.report(pool.running_elsewhere(&order.version));
