--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -17,7 +17,7 @@
 use crate::quarantine::tell;
 use crate::rights::Reservations;
 use crate::rollout;
-use crate::watch::copies;
+use crate::watch::replicas;
 
 /// Answers other routers.
 #[derive(Debug)]
@@ -74,8 +74,8 @@
 
     async fn tell_feed(&self, ask: &GetFeed) -> FeedRecords {
         let apply = self.node.settings.apply;
-        let heard = self.node.copies.answer(ask, self.node.process, apply);
-        copies::message(heard.await)
+        let heard = self.node.replicas.answer(ask, self.node.process, apply);
+        replicas::message(heard.await)
     }
 
     fn take_tally(&self, tally: &Tally) {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -114,7 +114,7 @@
         let mut fleet = Fleet::new(policy, Box::new(Unmixed::default()));
         fleet.set_pause(spec.pause);
         fleet.set_warmup(spec.warmup);
-        fleet.set_emptied(&shared.domains.emptied(), 0);
+        fleet.set_emptied(&shared.domains.drained(), 0);
         fleet.set_routers(shared.routers.load(Relaxed));
         Self {
             name: spec.name.clone(),
--- a/crates/gateway/src/fleet/pools.rs
+++ b/crates/gateway/src/fleet/pools.rs
@@ -122,8 +122,8 @@
     /// Takes the failure domains whose servers get no requests; all others do.
     pub fn set_emptied(&self, emptied: HashSet<DomainName>) {
         let _changing = self.changing();
-        self.shared.domains.set_emptied(emptied);
-        let emptied = self.shared.domains.emptied();
+        self.shared.domains.set_drained_domains(emptied);
+        let emptied = self.shared.domains.drained();
         for pool in self.pools.load().values() {
             pool.set_emptied(&emptied);
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -21,7 +21,7 @@
 use swiftlink_shell::web::{Body, Incoming, Response, Service};
 
 use crate::node::Node;
-use crate::store::{Feed, Late, Page, Store, StoreError};
+use crate::store::{Feed, Page, ResponseTimeout, Store, StoreError};
 
 /// Bounds of the latency histograms in seconds: from a call within a zone to the longest
 /// deadline of the users' sheets.
@@ -257,7 +257,7 @@
                 domain: domain.name.to_string(),
             };
             let gauge = self.emptied.get_or_create(&labels);
-            gauge.set(i64::from(domain.is_emptied()));
+            gauge.set(i64::from(domain.is_drained()));
         }
     }
 }
@@ -304,14 +304,14 @@
         feed: Feed,
         from: u64,
         wait: Duration,
-        late: Late,
+        late: ResponseTimeout,
     ) -> Result<Page, StoreError> {
         let result = self.store.read(feed, from, wait, late).await;
         self.count("read", &result);
         result
     }
 
-    async fn newest(&self, feed: Feed, late: Late) -> Result<Page, StoreError> {
+    async fn newest(&self, feed: Feed, late: ResponseTimeout) -> Result<Page, StoreError> {
         let result = self.store.newest(feed, late).await;
         self.count("newest", &result);
         result
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -18,7 +18,7 @@
 use crate::rollout::Reports;
 use crate::settings::RouterSettings;
 use crate::sightings::Sightings;
-use crate::watch::Copies;
+use crate::watch::Replicas;
 
 /// State that requests read, and the tasks that keep it up to date write.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     /// How old that knowledge is.
     pub freshness: Freshness,
     /// What was read of the configuration and of the servers' entries.
-    pub copies: Copies,
+    pub replicas: Replicas,
     /// The backend servers.
     pub pools: Arc<Pools>,
     /// Rights of the workspaces.
@@ -76,7 +76,7 @@
             settings,
             dialect,
             config: ArcSwapOption::empty(),
-            copies: Copies::default(),
+            replicas: Replicas::default(),
             pools: Arc::new(Pools::new()),
             reports: Reports::default(),
             sightings: Arc::default(),
--- a/crates/gateway/src/quarantine/tell.rs
+++ b/crates/gateway/src/quarantine/tell.rs
@@ -101,7 +101,7 @@
         let news = message(clock, &proofs, &untold.served);
         for round in 0..ROUNDS {
             sleep(ROUND_PAUSE * round).await;
-            send(&quarantine, &peers, peers.some(PASSED_ON), &news).await;
+            send(&quarantine, &peers, peers.sample(PASSED_ON), &news).await;
         }
     }
 }
@@ -145,7 +145,7 @@
 
 async fn call(quarantine: &Quarantine, peers: &Peers, vm: &VmName, ends: Ends) -> bool {
     let kind = request::Kind::Ends(ends);
-    match peers.call_up(vm, kind, ANSWER_TIME).await {
+    match peers.connect_and_call(vm, kind, ANSWER_TIME).await {
         Ok(reply::Kind::Noted(_)) => true,
         Ok(reply::Kind::Ends(known)) => {
             take(quarantine, vm.as_str(), &known);
--- a/crates/gateway/src/rights/caps.rs
+++ b/crates/gateway/src/rights/caps.rs
@@ -21,7 +21,7 @@
 use super::witness::Witness;
 use crate::clock::Reading;
 use crate::peers;
-use crate::store::{ANSWER_TIME, Feed, Record, Store, StoreError};
+use crate::store::{ANSWER_TIMEOUT, Feed, Record, Store, StoreError};
 
 /// Longest time between caps that nobody waits for, also while nothing is spent. A process that
 /// ends loses what its cap has grown by since then; with its age and the time without power
@@ -213,7 +213,7 @@
             .store
             .append_next(self.feed, &first.0, self.sequence, first.clone());
         let end = append.await?;
-        let page = self.store.newest(self.feed, ANSWER_TIME.into()).await?;
+        let page = self.store.newest(self.feed, ANSWER_TIMEOUT.into()).await?;
         if page.end < end {
             return Err(StoreError::Conflict { end: page.end });
         }
@@ -259,8 +259,10 @@
         loop {
             let mut starts = Vec::new();
             for part in self.books.member_parts() {
-                let page = self.store.newest(Feed::Members(part), ANSWER_TIME.into());
-                starts.extend(peers::starts(&page.await?.records, &self.vm));
+                let page = self
+                    .store
+                    .newest(Feed::Members(part), ANSWER_TIMEOUT.into());
+                starts.extend(peers::start_times(&page.await?.records, &self.vm));
             }
             if cap::middle_start(&newest, &starts).is_some() || Instant::now() >= until {
                 return Ok(starts);
--- a/crates/gateway/src/rights/claim.rs
+++ b/crates/gateway/src/rights/claim.rs
@@ -20,7 +20,7 @@
 use super::caps::{Caps, Ended};
 use super::rate::Rates;
 use super::witness::Witness;
-use crate::store::{ANSWER_TIME, Feed, Store, StoreError};
+use crate::store::{ANSWER_TIMEOUT, Feed, Store, StoreError};
 
 /// Time between looks at the accounts of a partition for each router, so that appends of
 /// many routers seldom meet: one takes about 5 ms.
@@ -68,7 +68,7 @@
         tasks.spawn(caps.run(books.uncapped(), stop.clone()));
         for part in 0..books.parts() {
             let task = Part {
-                feed: Feed::Rights(part),
+                feed: Feed::Quota(part),
                 books: Arc::clone(books),
                 part,
                 store: Arc::clone(store),
@@ -323,7 +323,7 @@
     }
 
     async fn read_all(&mut self, books: &[Arc<Book>]) -> Result<(), StoreError> {
-        let page = self.store.newest(self.feed, ANSWER_TIME.into()).await?;
+        let page = self.store.newest(self.feed, ANSWER_TIMEOUT.into()).await?;
         let known = self.seen.take().unwrap_or_default();
         if page.end < known.end {
             // An older state than the one known: an append on top of it would undo others'.
@@ -352,7 +352,7 @@
         let from = seen.end;
         let read = self
             .store
-            .read(self.feed, from, Duration::ZERO, ANSWER_TIME.into());
+            .read(self.feed, from, Duration::ZERO, ANSWER_TIMEOUT.into());
         match read.await {
             Ok(page) => {
                 let end = page.end.max(from);
--- a/crates/gateway/src/rollout/lead.rs
+++ b/crates/gateway/src/rollout/lead.rs
@@ -14,7 +14,7 @@
 use crate::catalog::Catalog;
 use crate::fleet::Pool;
 use crate::node::Node;
-use crate::store::{ANSWER_TIME, Feed, Store, StoreError};
+use crate::store::{ANSWER_TIMEOUT, Feed, Store, StoreError};
 
 /// Time that the first leader has to take a step before the second one does.
 const TURN: Duration = Duration::from_millis(400);
@@ -219,7 +219,7 @@
 
 /// The end of the roll-outs' feed, and how far the pool's newest one has come.
 async fn newest(store: &dyn Store, pool: &PoolName) -> Result<(u64, Option<Progress>), StoreError> {
-    let page = store.newest(Feed::Rollouts, ANSWER_TIME.into()).await?;
+    let page = store.newest(Feed::Rollouts, ANSWER_TIMEOUT.into()).await?;
     let mut records = page.records.into_iter();
     let known = records.find(|record| record.key == pool.as_str());
     let Some(value) = known.and_then(|record| record.value) else {
@@ -238,7 +238,7 @@
     at: (u64, Stage),
     status: (String, Bytes),
 ) -> Result<(), StoreError> {
-    let page = store.newest(Feed::Status, ANSWER_TIME.into()).await?;
+    let page = store.newest(Feed::Status, ANSWER_TIMEOUT.into()).await?;
     let known = newest(store, pool).await?.1;
     if known.is_some_and(|known| (known.order, known.stage) != at) {
         return Ok(());
--- a/crates/gateway/src/rollout/progress.rs
+++ b/crates/gateway/src/rollout/progress.rs
@@ -10,7 +10,7 @@
 use super::message::progress;
 use crate::node::Node;
 use crate::store::Feed;
-use crate::watch::{Follow, News};
+use crate::watch::{FeedUpdate, Follow};
 
 /// Takes news of the roll-outs' feed.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 }
 
 impl Follow for Follower {
-    fn take(&mut self, news: News) -> News {
+    fn take(&mut self, news: FeedUpdate) -> FeedUpdate {
         for change in &news.changes {
             let Some(value) = &change.value else {
                 continue;
--- a/crates/gateway/src/rollout/tell.rs
+++ b/crates/gateway/src/rollout/tell.rs
@@ -96,7 +96,7 @@
 
 async fn send(peers: Arc<Peers>, vm: VmName, tally: TallyMessage) {
     match peers
-        .call_up(&vm, request::Kind::Tally(tally), ANSWER_TIME)
+        .connect_and_call(&vm, request::Kind::Tally(tally), ANSWER_TIME)
         .await
     {
         Ok(reply::Kind::Noted(_)) => {}
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -24,7 +24,7 @@
 use crate::serve::Surface;
 use crate::settings::RouterSettings;
 use crate::store::{Feed, Store};
-use crate::watch::Others;
+use crate::watch::PeerFeeds;
 use crate::{notes, rollout, stop, watch};
 
 /// How long a connection may be idle. Callers reuse connections for up to four fifths of
@@ -102,9 +102,9 @@
                 Arc::clone(node.books.clock()),
                 Arc::clone(&node.sightings),
             )
-            .with_parts(node.settings.members_parts(), node.settings.bootstrap),
+            .with_partitions(node.settings.members_parts(), node.settings.bootstrap),
         );
-        let others = Arc::clone(&peers) as Arc<dyn Others>;
+        let others = Arc::clone(&peers) as Arc<dyn PeerFeeds>;
         watch::spawn(&mut tasks, &node, &store, &adapter.catalog, &others);
         spawn_peers(&mut tasks, &node, &store, &peers)?;
         if node.settings.rollouts.is_some() {
@@ -186,7 +186,7 @@
 fn relay(node: &Arc<Node>, peers: &Arc<Peers>) -> watch::Relay {
     watch::Relay {
         node: Arc::clone(node),
-        others: Arc::clone(peers) as Arc<dyn Others>,
+        peers: Arc::clone(peers) as Arc<dyn PeerFeeds>,
     }
 }
 
--- a/crates/gateway/src/serve/surface.rs
+++ b/crates/gateway/src/serve/surface.rs
@@ -14,7 +14,7 @@
 use super::journey::{Journey, Parcel};
 use super::refuse::{Refusal, SERVER_WAIT};
 use crate::dialect::Ask;
-use crate::domains::at_home;
+use crate::domains::allowed_domains;
 use crate::fingerprint::{Content, Origin};
 use crate::headroom::head_bytes;
 use crate::model::{Config, Route, Workspace};
@@ -80,7 +80,7 @@
     /// All that is decided before a request is sent.
     async fn serve(&self, mut request: Incoming, start: Instant) -> Result<Journey, Refusal> {
         let node = &self.node;
-        node.freshness.after_standstill(STANDSTILL_WAIT).await;
+        node.freshness.wait_after_stall(STANDSTILL_WAIT).await;
         if !node.freshness.is_confirmed() {
             return Err(Refusal::NotReady);
         }
@@ -116,7 +116,7 @@
         let homes = workspace
             .as_ref()
             .map_or(&[][..], |workspace| &workspace.homes);
-        let domains = at_home(&route.homes, homes, &node.settings.regions);
+        let domains = allowed_domains(&route.homes, homes, &node.settings.regions);
         Ok(Journey {
             node: Arc::clone(node),
             pool,
--- a/crates/gateway/src/standing.rs
+++ b/crates/gateway/src/standing.rs
@@ -128,7 +128,7 @@
     /// Why no request may go to it now; `None` where one may.
     #[must_use]
     pub fn bar(&self) -> Option<Bar> {
-        if self.domain.is_emptied() {
+        if self.domain.is_drained() {
             return Some(Bar::Emptied);
         }
         if self.gate.is_closed() {
--- a/crates/gateway/tests/testsuite/emptied.rs
+++ b/crates/gateway/tests/testsuite/emptied.rs
@@ -9,11 +9,11 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use swiftlink_gateway::catalog::{CatalogError, DomainChange, ServerEntry};
-use swiftlink_gateway::domains::{Domains, at_home};
+use swiftlink_gateway::domains::{Domains, allowed_domains};
 use swiftlink_gateway::freshness::Freshness;
 use swiftlink_gateway::model::Config;
 use swiftlink_gateway::store::{Feed, MemStore, Record, Store, StoreFault};
-use swiftlink_gateway::watch::{Emptied, News, Reader, Told};
+use swiftlink_gateway::watch::{DrainedDomains, FeedUpdate, PeerPage, Reader};
 use swiftlink_gateway::{Catalog, Node};
 use swiftlink_types::{DomainName, RegionName};
 use tokio::time::{Instant, advance, sleep};
@@ -67,7 +67,7 @@
     store: Arc<MemStore>,
     all: Vec<Record>,
     reader: Reader,
-    emptied: Emptied,
+    emptied: DrainedDomains,
     /// Per key, the newest place of the history that the reader was told of.
     told: HashMap<String, u64>,
 }
@@ -80,7 +80,7 @@
             store,
             all: Vec::new(),
             reader,
-            emptied: Emptied::default(),
+            emptied: DrainedDomains::default(),
             told: HashMap::new(),
         }
     }
@@ -101,7 +101,7 @@
         before.iter().rev().find(|record| record.key == key)
     }
 
-    fn take(&mut self, news: &News) {
+    fn take(&mut self, news: &FeedUpdate) {
         if let Some(keys) = &news.keys {
             self.emptied.retain(keys);
             for domain in 0..DOMAINS {
@@ -119,7 +119,7 @@
             *told = (*told).max(change.offset + 1);
             let change_of = DomainChange {
                 domain: DomainName::from(change.key.as_str()),
-                is_emptied: change.value.is_some(),
+                is_drained: change.value.is_some(),
             };
             self.emptied.take(&change.key, &change_of);
         }
@@ -139,14 +139,14 @@
             }
             Event::Tell { at, from, most } => {
                 let told = self.copy(*at, *from, *most);
-                let news = self.reader.take_told(told, Instant::now());
+                let news = self.reader.take_peer_page(told, Instant::now());
                 self.take(&news);
             }
         }
     }
 
     /// The newest record of each key as somebody knew them, from an offset on.
-    fn copy(&self, at: usize, from: usize, most: usize) -> Told {
+    fn copy(&self, at: usize, from: usize, most: usize) -> PeerPage {
         let known = &self.all[..at.min(self.all.len())];
         let mut newest: BTreeMap<&str, &Record> = BTreeMap::new();
         for record in known {
@@ -156,7 +156,7 @@
         records.retain(|record| record.offset >= from as u64);
         records.sort_by_key(|record| record.offset);
         records.truncate(most);
-        Told { records, age: None }
+        PeerPage { records, age: None }
     }
 
     /// What is known of each domain is the state that a record made which is no older than any
@@ -199,8 +199,8 @@
                 let key = key(domain);
                 let end = history.all.len() as u64;
                 let last = history.newest(&key, end);
-                let is_emptied = last.is_some_and(|record| record.value.is_some());
-                assert_eq!(history.emptied.domains().contains(key.as_str()), is_emptied);
+                let is_drained = last.is_some_and(|record| record.value.is_some());
+                assert_eq!(history.emptied.domains().contains(key.as_str()), is_drained);
             }
         });
     }
@@ -252,7 +252,7 @@
         }
         Ok(Some(DomainChange {
             domain: DomainName::from(name),
-            is_emptied: value.is_some(),
+            is_drained: value.is_some(),
         }))
     }
 
@@ -278,7 +278,7 @@
     let mut names: Vec<String> = node
         .pools
         .domains()
-        .emptied()
+        .drained()
         .iter()
         .map(ToString::to_string)
         .collect();
@@ -345,23 +345,23 @@
 async fn a_request_after_a_standstill_waits_for_news_and_others_dont() {
     let most = Duration::from_millis(60);
     let fresh = Arc::new(Freshness::new(TestClock::new()));
-    fresh.look();
+    fresh.mark_polled();
     let before = Instant::now();
-    fresh.after_standstill(most).await;
+    fresh.wait_after_stall(most).await;
     assert_eq!(before.elapsed(), Duration::ZERO);
     advance(Duration::from_secs(8)).await;
     let looked = Arc::clone(&fresh);
     let look = tokio::spawn(async move {
         sleep(Duration::from_millis(10)).await;
-        looked.look();
+        looked.mark_polled();
     });
     let before = Instant::now();
-    fresh.after_standstill(most).await;
+    fresh.wait_after_stall(most).await;
     assert_eq!(before.elapsed(), Duration::from_millis(10));
     look.await.expect("a look");
     advance(Duration::from_secs(8)).await;
     let before = Instant::now();
-    fresh.after_standstill(most).await;
+    fresh.wait_after_stall(most).await;
     assert_eq!(before.elapsed(), most, "nobody waits for what doesn't come");
 }
 
@@ -370,14 +370,14 @@
 fn a_domain_is_the_same_for_all_who_send_into_it() {
     let domains = Domains::default();
     let early = domains.get(&DomainName::from("a"));
-    domains.set_emptied(HashSet::from([
+    domains.set_drained_domains(HashSet::from([
         DomainName::from("a"),
         DomainName::from("b"),
     ]));
     let late = domains.get(&DomainName::from("b"));
-    assert!(early.is_emptied() && late.is_emptied());
-    domains.set_emptied(HashSet::new());
-    assert!(!early.is_emptied() && !late.is_emptied());
+    assert!(early.is_drained() && late.is_drained());
+    domains.set_drained_domains(HashSet::new());
+    assert!(!early.is_drained() && !late.is_drained());
 }
 
 #[test]
@@ -390,7 +390,7 @@
         let names = |homes: &[&str]| -> Vec<RegionName> {
             homes.iter().map(|home| RegionName::from(*home)).collect()
         };
-        let domains = at_home(&names(route), &names(workspace), &regions)?;
+        let domains = allowed_domains(&names(route), &names(workspace), &regions)?;
         let mut names: Vec<String> = domains.iter().map(ToString::to_string).collect();
         names.sort();
         Some(names.concat())
--- a/crates/gateway/tests/testsuite/rights.rs
+++ b/crates/gateway/tests/testsuite/rights.rs
@@ -205,7 +205,7 @@
             }
             4..8 => store.set_fault(draw_fault(&mut rng)),
             8..11 => store.release(),
-            11 => (0..12).for_each(|part| store.compact(Feed::Rights(part))),
+            11 => (0..12).for_each(|part| store.compact(Feed::Quota(part))),
             12..40 => sleep(Duration::from_millis(rng.random_range(0..800))).await,
             _ => spent += request(&routers[vm].book, &mut rng).await,
         }
