--- a/crates/gateway/src/watch/config.rs
+++ b/crates/gateway/src/watch/config.rs
@@ -105,9 +105,7 @@
         }
         for change in &update.changes {
             match self.catalog.rollout(&change.key, change.value.as_deref()) {
-                Ok(Some(parsed)) => {
-                    changed |= self.orders.take(&change.key, &parsed, change.offset)
-                }
+                Ok(Some(order)) => changed |= self.orders.take(&change.key, &order, change.offset),
                 Ok(None) => {}
                 Err(error) => self.report_unreadable(&error, change.offset),
             }
--- a/crates/gateway/src/watch/reader.rs
+++ b/crates/gateway/src/watch/reader.rs
@@ -32,7 +32,7 @@
 pub struct FeedUpdate {
     /// New records, sorted by offset.
     pub changes: Vec<Change>,
-    /// Newer records that repeat the known ones; filled in by the [`Follow`](super::Follow)
+    /// Newer records that repeat the known ones; filled in by the `Follow`
     /// implementation.
     pub unchanged: Vec<Change>,
     /// All keys that may exist, if the whole feed was read.
