--- a/crates/gateway/src/store/mem.rs
+++ b/crates/gateway/src/store/mem.rs
@@ -18,7 +18,7 @@
     #[default]
     None,
     /// Calls are refused without effect.
-    Away,
+    Unavailable,
     /// Appends take effect, but their answers are lost; reads work.
     LoseAnswers,
     /// Appends get no answer and take effect at [`MemStore::release`], if their condition still
@@ -164,7 +164,7 @@
     /// Returns a feed as reads see it.
     fn visible(&self, feed: Feed) -> Result<Option<&Records>, StoreError> {
         match self.fault {
-            StoreFault::Away => Err(StoreError::Refused("away".to_owned())),
+            StoreFault::Unavailable => Err(StoreError::Refused("unavailable".to_owned())),
             StoreFault::Stale => Ok(self.stale.get(&feed)),
             _ => Ok(self.feeds.get(&feed)),
         }
@@ -265,7 +265,7 @@
         let mut inner = self.lock();
         let unknown = || StoreError::Unknown("no answer".to_owned());
         match inner.fault {
-            StoreFault::Away => return Err(StoreError::Refused("away".to_owned())),
+            StoreFault::Unavailable => return Err(StoreError::Refused("unavailable".to_owned())),
             StoreFault::Late => {
                 let records = records.to_vec();
                 inner.late.push(LateAppend { feed, at, records });
@@ -302,8 +302,8 @@
         };
         let mut inner = self.lock();
         match inner.fault {
-            StoreFault::Away | StoreFault::NoNumbered => {
-                return Err(StoreError::Refused("away".to_owned()));
+            StoreFault::Unavailable | StoreFault::NoNumbered => {
+                return Err(StoreError::Refused("unavailable".to_owned()));
             }
             StoreFault::Late => {
                 inner.late_numbered.push(append);
--- a/crates/gateway/src/watch/config.rs
+++ b/crates/gateway/src/watch/config.rs
@@ -159,7 +159,7 @@
         update
     }
 
-    fn regained(&mut self) {}
+    fn store_recovered(&mut self) {}
 
     fn tick(&mut self) -> Vec<String> {
         self.node.freshness.mark_polled();
--- a/crates/gateway/src/watch/directory.rs
+++ b/crates/gateway/src/watch/directory.rs
@@ -149,7 +149,7 @@
     }
 
     /// The store answers again after an outage.
-    pub fn regained(&mut self, now: Instant) {
+    pub fn store_recovered(&mut self, now: Instant) {
         self.recovered_at = Some(now);
     }
 
@@ -400,8 +400,8 @@
         published
     }
 
-    fn regained(&mut self) {
-        self.directory.regained(Instant::now());
+    fn store_recovered(&mut self) {
+        self.directory.store_recovered(Instant::now());
     }
 
     fn tick(&mut self) -> Vec<String> {
--- a/crates/gateway/src/watch/follow.rs
+++ b/crates/gateway/src/watch/follow.rs
@@ -43,7 +43,7 @@
     fn take(&mut self, update: FeedUpdate) -> FeedUpdate;
 
     /// The store answers again and may have been unavailable until now.
-    fn regained(&mut self);
+    fn store_recovered(&mut self);
 
     /// Does what has become due and returns the keys that expired; called after each poll.
     fn tick(&mut self) -> Vec<String>;
@@ -240,7 +240,7 @@
         let Some(since) = self.lost_at.take() else {
             if is_first && has_upstreams(reader.feed(), relay) {
                 // The upstreams may have failed because they had lost the store.
-                follower.regained();
+                follower.store_recovered();
             }
             return;
         };
@@ -254,7 +254,7 @@
             late = is_late,
         );
         if !is_late {
-            follower.regained();
+            follower.store_recovered();
         }
     }
 }
--- a/crates/gateway/tests/testsuite/large.rs
+++ b/crates/gateway/tests/testsuite/large.rs
@@ -149,7 +149,7 @@
     let mut rng = Pcg64::seed_from_u64(4);
     let fleet = start(TOKENS_PER_MINUTE).await;
     run_load(&fleet, &mut rng, Duration::from_secs(4), 0..ROUTERS).await;
-    fleet.read().await.store.set_fault(StoreFault::Away);
+    fleet.read().await.store.set_fault(StoreFault::Unavailable);
     let served = run_load(&fleet, &mut rng, Duration::from_secs(8), 0..ROUTERS).await;
     let refused = served.refused_share();
     assert!(refused < 0.05, "{refused} of {}", served.served);
@@ -165,7 +165,7 @@
     let (mut refused, mut again) = (0, 0);
     for _cut in 0..3 {
         run_load(&fleet, &mut rng, Duration::from_secs(3), 0..ROUTERS).await;
-        fleet.read().await.store.set_fault(StoreFault::Away);
+        fleet.read().await.store.set_fault(StoreFault::Unavailable);
         let mut callers = JoinSet::new();
         for _ in 0..800 {
             callers.spawn(call_twice(Arc::clone(&fleet), &mut rng));
@@ -316,7 +316,7 @@
             }
             4..8 => {
                 let fault = match rng.random_range(0..6) {
-                    0 => StoreFault::Away,
+                    0 => StoreFault::Unavailable,
                     1 => StoreFault::LoseAnswers,
                     2 => StoreFault::Late,
                     3 => StoreFault::Stale,
@@ -326,7 +326,7 @@
             }
             8..11 => fleet.store.release(),
             11..16 => fleet.net.set_silent(vm, rng.random_bool(0.4)),
-            16..20 => fleet.net.loses.store(rng.random_bool(0.3), Relaxed),
+            16..20 => fleet.net.loses_answers.store(rng.random_bool(0.3), Relaxed),
             20..40 => sleep(Duration::from_millis(rng.random_range(0..800))).await,
             _ => {
                 let usage = Usage {
--- a/crates/gateway/tests/testsuite/net.rs
+++ b/crates/gateway/tests/testsuite/net.rs
@@ -85,7 +85,7 @@
     /// When each process was last heard from, and the reading of its clock at the request.
     seen: Mutex<HashMap<u64, (u64, Instant)>>,
     /// Whether some answers are lost after the work was done.
-    pub(crate) loses: AtomicBool,
+    pub(crate) loses_answers: AtomicBool,
 }
 
 impl Net {
@@ -144,7 +144,7 @@
             }
         });
         let answer = work.await.map_err(|_panic| LinkError::Lost)?;
-        if self.net.loses.load(Relaxed) && rand::rng().random_bool(0.2) {
+        if self.net.loses_answers.load(Relaxed) && rand::rng().random_bool(0.2) {
             sleep(time).await;
             return Err(LinkError::Timeout);
         }
--- a/crates/gateway/tests/testsuite/relay.rs
+++ b/crates/gateway/tests/testsuite/relay.rs
@@ -339,7 +339,7 @@
     fleet.put("b", Some("1 2"));
     let both = servers(&[("a", 1, 1), ("b", 1, 2)]);
     fleet.convergence_time(&both, &[]).await;
-    fleet.network.store.set_fault(StoreFault::Away);
+    fleet.network.store.set_fault(StoreFault::Unavailable);
     sleep(Duration::from_secs(5)).await;
     fleet.put("a", None);
     fleet.put("b", None);
--- a/crates/gateway/tests/testsuite/starts.rs
+++ b/crates/gateway/tests/testsuite/starts.rs
@@ -35,7 +35,7 @@
     /// Its entry is removed.
     Remove { name: u8 },
     /// The store becomes unavailable or available.
-    Away(bool),
+    Outage(bool),
     /// Nothing happens for some milliseconds.
     Pause(u64),
 }
@@ -46,7 +46,7 @@
         4 => put.prop_map(|(name, born, port)| Event::Put { name, born, port }),
         1 => (0..SERVERS).prop_map(|name| Event::Garbage { name }),
         1 => (0..SERVERS).prop_map(|name| Event::Remove { name }),
-        1 => any::<bool>().prop_map(Event::Away),
+        1 => any::<bool>().prop_map(Event::Outage),
         2 => (0..4_000_u64).prop_map(Event::Pause),
     ]
 }
@@ -109,7 +109,7 @@
             Event::Garbage { name } | Event::Remove { name } => {
                 self.used.remove(&key(name));
             }
-            Event::Away(_) | Event::Pause(_) => {}
+            Event::Outage(_) | Event::Pause(_) => {}
         }
     }
 }
@@ -126,8 +126,8 @@
         Event::Put { name, born, port } => put(name, Some(format!("{born} {port}"))),
         Event::Garbage { name } => put(name, Some("garbage".to_owned())),
         Event::Remove { name } => put(name, None),
-        Event::Away(true) => store.set_fault(StoreFault::Away),
-        Event::Away(false) => store.set_fault(StoreFault::None),
+        Event::Outage(true) => store.set_fault(StoreFault::Unavailable),
+        Event::Outage(false) => store.set_fault(StoreFault::None),
         Event::Pause(ms) => sleep(Duration::from_millis(ms)).await,
     }
 }
--- a/crates/gateway/tests/testsuite/watch.rs
+++ b/crates/gateway/tests/testsuite/watch.rs
@@ -117,7 +117,7 @@
     let mut directory = Directory::default();
     directory.put(server("back"));
     directory.put(server("gone"));
-    directory.regained(now);
+    directory.store_recovered(now);
     assert!(!directory.remove(&ServerName::from("back"), now));
     assert!(!directory.remove(&ServerName::from("gone"), now));
     assert_eq!(directory.entries().len(), 2);
@@ -134,7 +134,7 @@
     let now = Instant::now();
     let mut directory = Directory::default();
     directory.put(server("s"));
-    directory.regained(now);
+    directory.store_recovered(now);
     let later = now + Duration::from_millis(400);
     assert!(directory.remove(&ServerName::from("s"), later));
 }
@@ -144,7 +144,7 @@
     let now = Instant::now();
     let mut directory = Directory::default();
     directory.put(server("s"));
-    directory.regained(now);
+    directory.store_recovered(now);
     let later = now + Duration::from_secs(5);
     assert!(directory.remove(&ServerName::from("s"), later));
 }
@@ -206,7 +206,7 @@
     let node = Arc::new(node());
     let _tasks = follow_alone(&node, &store, NoCatalog);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    store.store.set_fault(StoreFault::Away);
+    store.store.set_fault(StoreFault::Unavailable);
     tokio::time::sleep(Duration::from_secs(3)).await;
     store.waits.lock().expect("a lock").clear();
     tokio::time::sleep(Duration::from_secs(1)).await;
