--- a/crates/gateway/src/rollout/progress.rs
+++ b/crates/gateway/src/rollout/progress.rs
@@ -56,7 +56,7 @@
         news
     }
 
-    fn regained(&mut self) {}
+    fn store_recovered(&mut self) {}
 
     fn tick(&mut self) -> Vec<String> {
         Vec::new()
--- a/crates/gateway/tests/testsuite/losses.rs
+++ b/crates/gateway/tests/testsuite/losses.rs
@@ -137,7 +137,7 @@
     let clock = TestClock::new();
     let mut router = start_at(&store, 0, 1, PREPAID, Arc::clone(&clock));
     sleep(Duration::from_secs(2)).await;
-    store.set_fault(StoreFault::Away);
+    store.set_fault(StoreFault::Unavailable);
     let mut spent = 0;
     for _step in 0..60 {
         spent += spend(&router.book, 1_000, Duration::ZERO).await;
--- a/crates/gateway/tests/testsuite/rights.rs
+++ b/crates/gateway/tests/testsuite/rights.rs
@@ -120,7 +120,7 @@
 
 fn draw_fault(rng: &mut Pcg64) -> StoreFault {
     match rng.random_range(0..8) {
-        0 => StoreFault::Away,
+        0 => StoreFault::Unavailable,
         1 => StoreFault::LoseAnswers,
         2 => StoreFault::Late,
         3 => StoreFault::Stale,
@@ -326,7 +326,7 @@
     let wait = Duration::from_secs(5);
     let refused = router.book.reserve(usage, wait).await;
     assert_eq!(refused.err(), Some(NoRights::Elsewhere));
-    store.set_fault(StoreFault::Away);
+    store.set_fault(StoreFault::Unavailable);
     let refused = router.book.reserve(usage, wait).await;
     assert_eq!(refused.err(), Some(NoRights::Away));
 }
