--- a/crates/gateway/src/eligibility.rs
+++ b/crates/gateway/src/eligibility.rs
@@ -128,7 +128,7 @@
     /// Why no request may go to the server now; `None` if one may.
     #[must_use]
     pub fn block_reason(&self) -> Option<BlockReason> {
-        if self.domain.is_emptied() {
+        if self.domain.is_drained() {
             return Some(BlockReason::Drained);
         }
         if self.gate.is_closed() {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -21,7 +21,7 @@
 use swiftlink_shell::web::{Body, Incoming, Response, Service};
 
 use crate::node::Node;
-use crate::store::{Feed, Late, Page, Store, StoreError};
+use crate::store::{Feed, Page, ResponseTimeout, Store, StoreError};
 
 /// Upper bounds of the latency buckets in seconds: from a call within a zone to the longest
 /// deadline in the users' requirements.
@@ -266,7 +266,7 @@
                 domain: domain.name.to_string(),
             };
             let gauge = self.drained.get_or_create(&labels);
-            gauge.set(i64::from(domain.is_emptied()));
+            gauge.set(i64::from(domain.is_drained()));
         }
     }
 }
@@ -313,15 +313,15 @@
         feed: Feed,
         from: u64,
         wait: Duration,
-        late: Late,
+        timeout: ResponseTimeout,
     ) -> Result<Page, StoreError> {
-        let result = self.store.read(feed, from, wait, late).await;
+        let result = self.store.read(feed, from, wait, timeout).await;
         self.count("read", &result);
         result
     }
 
-    async fn newest(&self, feed: Feed, late: Late) -> Result<Page, StoreError> {
-        let result = self.store.newest(feed, late).await;
+    async fn newest(&self, feed: Feed, timeout: ResponseTimeout) -> Result<Page, StoreError> {
+        let result = self.store.newest(feed, timeout).await;
         self.count("newest", &result);
         result
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -18,7 +18,7 @@
 use crate::rollout::Reports;
 use crate::settings::RouterSettings;
 use crate::sightings::Sightings;
-use crate::watch::Copies;
+use crate::watch::Replicas;
 
 /// State that requests read and background tasks keep up to date.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     /// Age of what is known of the configuration.
     pub freshness: Freshness,
     /// Records of the configuration and of the servers' entries, as last read.
-    pub replicas: Copies,
+    pub replicas: Replicas,
     /// Pools of backend servers.
     pub pools: Arc<Pools>,
     /// Local quota of the workspaces.
@@ -77,7 +77,7 @@
             settings,
             dialect,
             config: ArcSwapOption::empty(),
-            replicas: Copies::default(),
+            replicas: Replicas::default(),
             pools: Arc::new(Pools::new()),
             reports: Reports::default(),
             peer_clocks: Arc::default(),
--- a/crates/gateway/src/peer_handler.rs
+++ b/crates/gateway/src/peer_handler.rs
@@ -17,7 +17,7 @@
 use crate::quota::PeerReservations;
 use crate::rollout;
 use crate::server_updates;
-use crate::watch::copies;
+use crate::watch::replicas;
 
 /// Serves the requests of peers from this router's state.
 #[derive(Debug)]
@@ -76,7 +76,7 @@
     async fn feed_records(&self, request: &GetFeed) -> FeedRecords {
         let apply = self.node.settings.config_apply;
         let answer = self.node.replicas.answer(request, self.node.process, apply);
-        copies::message(answer.await)
+        replicas::message(answer.await)
     }
 
     fn record_tally(&self, tally: &Tally) {
--- a/crates/gateway/src/quota/cap_writer.rs
+++ b/crates/gateway/src/quota/cap_writer.rs
@@ -21,7 +21,7 @@
 use super::table::QuotaTable;
 use crate::clock::Reading;
 use crate::peers;
-use crate::store::{ANSWER_TIME, Feed, Record, Store, StoreError};
+use crate::store::{ANSWER_TIMEOUT, Feed, Record, Store, StoreError};
 
 /// Longest interval between caps, also while nothing is spent. A process that ends loses what its
 /// cap has grown by since the last one. The interval plus the time without power must stay below
@@ -212,7 +212,7 @@
             .store
             .append_next(self.feed, &first.0, self.sequence, first.clone());
         let end = append.await?;
-        let page = self.store.newest(self.feed, ANSWER_TIME.into()).await?;
+        let page = self.store.newest(self.feed, ANSWER_TIMEOUT.into()).await?;
         if page.end < end {
             return Err(StoreError::Conflict { end: page.end });
         }
@@ -260,8 +260,8 @@
             for partition in self.quotas.member_partitions() {
                 let page = self
                     .store
-                    .newest(Feed::Members(partition), ANSWER_TIME.into());
-                starts.extend(peers::starts(&page.await?.records, &self.vm));
+                    .newest(Feed::Members(partition), ANSWER_TIMEOUT.into());
+                starts.extend(peers::start_times(&page.await?.records, &self.vm));
             }
             if cap::median_start(&newest, &starts).is_some() || Instant::now() >= until {
                 return Ok(starts);
--- a/crates/gateway/src/quota/claim.rs
+++ b/crates/gateway/src/quota/claim.rs
@@ -20,7 +20,7 @@
 use super::local::LocalQuota;
 use super::rate::Rates;
 use super::table::QuotaTable;
-use crate::store::{ANSWER_TIME, Feed, Store, StoreError};
+use crate::store::{ANSWER_TIMEOUT, Feed, Store, StoreError};
 
 /// Interval between rounds in a partition, multiplied by the number of routers, so that their
 /// appends seldom conflict: one append takes about 5 ms.
@@ -68,7 +68,7 @@
         tasks.spawn(caps.run(quotas.cap_waker(), stop.clone()));
         for partition in 0..quotas.partitions() {
             let task = PartitionTask {
-                feed: Feed::Rights(partition),
+                feed: Feed::Quota(partition),
                 quotas: Arc::clone(quotas),
                 partition,
                 store: Arc::clone(store),
@@ -324,7 +324,7 @@
     }
 
     async fn read_all(&mut self, quotas: &[Arc<LocalQuota>]) -> Result<(), StoreError> {
-        let page = self.store.newest(self.feed, ANSWER_TIME.into()).await?;
+        let page = self.store.newest(self.feed, ANSWER_TIMEOUT.into()).await?;
         let known = self.snapshot.take().unwrap_or_default();
         if page.end < known.end {
             // The page is older than the snapshot: an append based on it would undo changes of
@@ -355,7 +355,7 @@
         let from = snapshot.end;
         let read = self
             .store
-            .read(self.feed, from, Duration::ZERO, ANSWER_TIME.into());
+            .read(self.feed, from, Duration::ZERO, ANSWER_TIMEOUT.into());
         match read.await {
             Ok(page) => {
                 let end = page.end.max(from);
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -24,7 +24,7 @@
 use crate::serve::CallerService;
 use crate::settings::RouterSettings;
 use crate::store::{Feed, Store};
-use crate::watch::Others;
+use crate::watch::PeerFeeds;
 use crate::{rollout, server_updates, stop, watch};
 
 /// How long a connection may be idle. Callers reuse connections for up to four fifths of
@@ -102,10 +102,10 @@
                 Arc::clone(node.quotas.clock()),
                 Arc::clone(&node.peer_clocks),
             )
-            .with_parts(node.settings.member_partitions(), node.settings.bootstrap),
+            .with_partitions(node.settings.member_partitions(), node.settings.bootstrap),
         );
-        let others = Arc::clone(&peers) as Arc<dyn Others>;
-        watch::spawn(&mut tasks, &node, &store, &adapter.catalog, &others);
+        let feeds = Arc::clone(&peers) as Arc<dyn PeerFeeds>;
+        watch::spawn(&mut tasks, &node, &store, &adapter.catalog, &feeds);
         spawn_peers(&mut tasks, &node, &store, &peers)?;
         if node.settings.rollouts.is_some() {
             let reader = watch::Reader::new(Feed::Rollouts, Arc::clone(&store));
@@ -122,8 +122,8 @@
                 Arc::clone(&adapter.catalog),
             ));
         }
-        let calls = Arc::clone(&peers) as Arc<dyn PeerClient>;
-        let reserver = Reserver::new(Arc::clone(&node.quotas), calls, node.process);
+        let peer_client = Arc::clone(&peers) as Arc<dyn PeerClient>;
+        let reserver = Reserver::new(Arc::clone(&node.quotas), peer_client, node.process);
         tasks.spawn(Arc::clone(&reserver).run());
         let vm = &node.settings.vm;
         let claims = Claims::spawn(&node.quotas, &store, peers, vm, node.process);
@@ -190,7 +190,7 @@
 fn feed_relay(node: &Arc<Node>, peers: &Arc<Peers>) -> watch::Relay {
     watch::Relay {
         node: Arc::clone(node),
-        others: Arc::clone(peers) as Arc<dyn Others>,
+        peers: Arc::clone(peers) as Arc<dyn PeerFeeds>,
     }
 }
 
--- a/crates/gateway/src/serve/service.rs
+++ b/crates/gateway/src/serve/service.rs
@@ -14,7 +14,7 @@
 use super::exchange::{Exchange, ForwardedRequest};
 use super::refusal::{Refusal, SERVER_RETRY};
 use crate::dialect::RequestMeta;
-use crate::domains::at_home;
+use crate::domains::allowed_domains;
 use crate::fingerprint::{Content, RequestIdentity};
 use crate::headroom::head_bytes;
 use crate::model::{Config, Route, Workspace};
@@ -80,7 +80,7 @@
     /// Decides whether and where a request is sent, and reserves its quota.
     async fn admit(&self, mut request: Incoming, start: Instant) -> Result<Exchange, Refusal> {
         let node = &self.node;
-        node.freshness.after_standstill(STALL_WAIT).await;
+        node.freshness.wait_after_stall(STALL_WAIT).await;
         if !node.freshness.is_confirmed() {
             return Err(Refusal::NotReady);
         }
@@ -117,7 +117,7 @@
         let workspace_regions = workspace
             .as_ref()
             .map_or(&[][..], |workspace| &workspace.homes);
-        let domains = at_home(&route.homes, workspace_regions, &node.settings.regions);
+        let domains = allowed_domains(&route.homes, workspace_regions, &node.settings.regions);
         Ok(Exchange {
             node: Arc::clone(node),
             pool,
--- a/crates/gateway/tests/testsuite/rights.rs
+++ b/crates/gateway/tests/testsuite/rights.rs
@@ -121,7 +121,7 @@
 
 fn draw_fault(rng: &mut Pcg64) -> StoreFault {
     match rng.random_range(0..8) {
-        0 => StoreFault::Away,
+        0 => StoreFault::Unavailable,
         1 => StoreFault::LoseAnswers,
         2 => StoreFault::Late,
         3 => StoreFault::Stale,
@@ -205,7 +205,7 @@
             }
             4..8 => store.set_fault(draw_fault(&mut rng)),
             8..11 => store.release(),
-            11 => (0..12).for_each(|part| store.compact(Feed::Rights(part))),
+            11 => (0..12).for_each(|part| store.compact(Feed::Quota(part))),
             12..40 => sleep(Duration::from_millis(rng.random_range(0..800))).await,
             _ => spent += request(&routers[vm].quota, &mut rng).await,
         }
@@ -326,7 +326,7 @@
     let wait = Duration::from_secs(5);
     let refused = router.quota.reserve(usage, wait).await;
     assert_eq!(refused.err(), Some(QuotaError::HeldElsewhere));
-    store.set_fault(StoreFault::Away);
+    store.set_fault(StoreFault::Unavailable);
     let refused = router.quota.reserve(usage, wait).await;
     assert_eq!(refused.err(), Some(QuotaError::StoreUnavailable));
 }
