--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -1,27 +1,27 @@
-//! Simple routing policies to compare with.
+//! Simple routing policies for comparison.
 
 use rand::Rng;
 
 use crate::policy::{Policy, View, draw};
 
-/// Draws made before all servers are looked through.
-const DRAWS: usize = 8;
+/// Random draws before falling back to a scan of all servers.
+const MAX_DRAWS: usize = 8;
 
-/// Any server, drawn evenly.
+/// Any server, chosen uniformly at random.
 #[derive(Debug, Default)]
 pub struct Random;
 
-/// One server after the other.
+/// One server after the other, in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
-/// The server with the least load in its last report.
+/// The server with the least load in its last report; ties are broken at random.
 #[derive(Debug, Default)]
 pub struct LeastReported;
 
-/// The better of two drawn servers, by own requests in flight.
+/// The better of two random servers, by own requests in flight (power of two choices).
 #[derive(Debug, Default)]
 pub struct TwoChoices;
 
@@ -31,7 +31,7 @@
     }
 
     fn pick(&mut self, view: &View<'_>, rng: &mut dyn Rng) -> Option<u32> {
-        draw_able(view, rng)
+        draw_eligible(view, rng)
     }
 }
 
@@ -43,10 +43,10 @@
     fn pick(&mut self, view: &View<'_>, _rng: &mut dyn Rng) -> Option<u32> {
         let open = view.open();
         for _ in 0..open.len() {
-            let slot = open[self.next % open.len()];
+            let index = open[self.next % open.len()];
             self.next = (self.next + 1) % open.len();
-            if view.can_take(slot) {
-                return Some(slot);
+            if view.can_take(index) {
+                return Some(index);
             }
         }
         None
@@ -60,23 +60,23 @@
 
     fn pick(&mut self, view: &View<'_>, rng: &mut dyn Rng) -> Option<u32> {
         let mut best = None;
-        let mut equals = 0;
-        for slot in view.open().iter().copied() {
-            if !view.can_take(slot) {
+        let mut ties = 0;
+        for index in view.open().iter().copied() {
+            if !view.can_take(index) {
                 continue;
             }
-            let load = view.server(slot).load().reported();
+            let load = view.server(index).load().reported();
             match best {
                 Some((least, _)) if load > least => continue,
-                Some((least, _)) if load == least => equals += 1,
-                _ => equals = 1,
+                Some((least, _)) if load == least => ties += 1,
+                _ => ties = 1,
             }
-            // Of equal ones each has the same chance.
-            if draw(rng, equals) == 0 {
-                best = Some((load, slot));
+            // Reservoir sampling: each of the tied servers is equally likely.
+            if draw(rng, ties) == 0 {
+                best = Some((load, index));
             }
         }
-        best.map(|(_, slot)| slot)
+        best.map(|(_, index)| index)
     }
 }
 
@@ -86,36 +86,36 @@
     }
 
     fn pick(&mut self, view: &View<'_>, rng: &mut dyn Rng) -> Option<u32> {
-        let one = draw_able(view, rng)?;
-        let two = draw_able(view, rng)?;
-        let in_flight = |slot| view.server(slot).load().in_flight();
-        Some(if in_flight(two) < in_flight(one) {
-            two
+        let first = draw_eligible(view, rng)?;
+        let second = draw_eligible(view, rng)?;
+        let in_flight = |index| view.server(index).load().in_flight();
+        Some(if in_flight(second) < in_flight(first) {
+            second
         } else {
-            one
+            first
         })
     }
 }
 
-/// A server that can take the request, drawn evenly.
-pub(crate) fn draw_able(view: &View<'_>, rng: &mut dyn Rng) -> Option<u32> {
+/// A server that can take the request, chosen uniformly at random.
+pub(crate) fn draw_eligible(view: &View<'_>, rng: &mut dyn Rng) -> Option<u32> {
     let open = view.open();
     if open.is_empty() {
         return None;
     }
-    for _ in 0..DRAWS {
-        let slot = open[draw(rng, open.len())];
-        if view.can_take(slot) {
-            return Some(slot);
+    for _ in 0..MAX_DRAWS {
+        let index = open[draw(rng, open.len())];
+        if view.can_take(index) {
+            return Some(index);
         }
     }
-    let able: Vec<u32> = open
+    let eligible: Vec<u32> = open
         .iter()
         .copied()
-        .filter(|slot| view.can_take(*slot))
+        .filter(|index| view.can_take(*index))
         .collect();
-    if able.is_empty() {
+    if eligible.is_empty() {
         return None;
     }
-    Some(able[draw(rng, able.len())])
+    Some(eligible[draw(rng, eligible.len())])
 }
--- a/crates/routing/src/fleet/choose.rs
+++ b/crates/routing/src/fleet/choose.rs
@@ -1,95 +1,100 @@
-//! Picks a server for a request, and counts what is sent to it.
+//! Selects a server for a request and counts the request as sent.
 
 use rand::Rng;
 
 use super::Fleet;
-use crate::policy::{Pick, View, draw};
-use crate::server::{Sent, ServerIdx};
+use crate::policy::{PickArgs, View, draw};
+use crate::server::{Dispatch, ServerIdx};
 
-/// A chosen server, and the prompt tokens that it has to read.
+/// A chosen server, and the prompt tokens that it has to process.
 pub(super) struct Choice {
     pub(super) idx: ServerIdx,
-    /// Of the request itself.
-    pub(super) unread: u64,
-    /// Of those before it.
-    pub(super) ahead: u64,
+    /// Tokens of the request itself.
+    pub(super) prefill: u64,
+    /// Tokens of the prompts in front of it.
+    pub(super) backlog: u64,
 }
 
 impl Fleet {
     /// Chooses a server. `None` when none can take the request now.
-    pub fn pick(&mut self, pick: &Pick<'_>, rng: &mut impl Rng) -> Option<ServerIdx> {
-        self.choose(pick, rng).map(|choice| choice.idx)
+    pub fn pick(&mut self, args: &PickArgs<'_>, rng: &mut impl Rng) -> Option<ServerIdx> {
+        self.choose(args, rng).map(|choice| choice.idx)
     }
 
-    fn choose(&mut self, pick: &Pick<'_>, rng: &mut impl Rng) -> Option<Choice> {
-        if self.is_wake_due(pick.now) {
-            self.wake(pick.now);
+    fn choose(&mut self, args: &PickArgs<'_>, rng: &mut impl Rng) -> Option<Choice> {
+        if self.is_backoff_over(args.now) {
+            self.end_backoffs(args.now);
         }
-        if self.cold.is_due(pick.now) {
-            self.cold.note(pick.now);
+        if self.cold.has_warmed(args.now) {
+            self.cold.advance(args.now);
             self.refresh();
         }
         let view = View {
             servers: &self.servers,
             open: &self.open,
             hashes: &self.hashes,
-            pick,
+            args,
             pool: &self.pool,
             seed: self.settings.seed,
-            read: &self.read,
-            read_time: self.speeds.read_time(),
+            cached: &self.cached,
+            per_token: self.isolation.prefill_per_token(),
         };
         let probed = probe(&view, &self.ejected, rng);
-        let is_short = self.cold.is_needed(self.open.len());
-        let spared = probed.or_else(|| is_short.then(|| self.cold.pick(&view, rng))?);
-        let chosen = spared.or_else(|| self.policy.pick(&view, rng));
+        let is_cold_needed = self.cold.is_needed(self.open.len());
+        let probe_or_cold =
+            probed.or_else(|| is_cold_needed.then(|| self.cold.pick(&view, rng))?);
+        let chosen = probe_or_cold.or_else(|| self.policy.pick(&view, rng));
         let chosen = chosen.or_else(|| self.cold.pick(&view, rng));
-        if chosen.is_none() && self.window.widen() {
+        if chosen.is_none() && self.working_set.grow() {
             self.refresh();
-            return self.choose(pick, rng);
+            return self.choose(args, rng);
         }
-        let slot = chosen.or_else(|| last_resort(&view, &self.ejected))?;
+        let index = chosen.or_else(|| last_resort(&view, &self.ejected))?;
         debug_assert!(
-            chosen.is_none() || chosen == probed || view.can_take(slot),
-            "policies choose among the able"
+            chosen.is_none() || chosen == probed || view.can_take(index),
+            "policies choose eligible servers only"
         );
         Some(Choice {
-            unread: view.unread(slot),
-            ahead: view.ahead(slot),
-            idx: self.idx(slot),
+            prefill: view.prefill_tokens(index),
+            backlog: view.backlog(index),
+            idx: self.idx(index),
         })
     }
 
-    /// Chooses a server and counts the request as sent to it.
-    pub fn send(&mut self, pick: &Pick<'_>, rng: &mut impl Rng) -> Option<Sent> {
-        let choice = self.choose(pick, rng)?;
-        let mut sent = self.on_sent(choice.idx, pick.now)?;
-        sent.unread = choice.unread;
-        sent.ahead = choice.ahead;
-        self.on_prompt(pick, &choice);
-        Some(sent)
+    /// Chooses a server and counts the request as sent to it. `None` when none can take the request
+    /// now.
+    pub fn send(&mut self, args: &PickArgs<'_>, rng: &mut impl Rng) -> Option<Dispatch> {
+        let choice = self.choose(args, rng)?;
+        let mut dispatch = self.on_sent(choice.idx, args.now)?;
+        dispatch.prefill = choice.prefill;
+        dispatch.backlog = choice.backlog;
+        self.on_prompt(args, &choice);
+        Some(dispatch)
     }
 }
 
-/// An ejected server that is due for its probe and may get this request as such.
+/// An ejected server that is due for a probe and may get this request as its probe.
 fn probe(view: &View<'_>, ejected: &[u32], rng: &mut dyn Rng) -> Option<u32> {
     if ejected.is_empty() {
         return None;
     }
     let start = draw(rng, ejected.len());
     let (before, after) = ejected.split_at(start);
-    let mut slots = after.iter().chain(before).copied();
-    slots.find(|slot| view.can_probe(*slot))
+    let mut indices = after.iter().chain(before).copied();
+    indices.find(|index| view.can_probe(*index))
 }
 
 /// The server that was ejected longest ago, among those that refused a connection.
 ///
-/// Links that are cut for some milliseconds, one after the other, eject a whole pool for a
-/// second each while all but one of its servers can be reached. Trying one takes a millisecond
-/// and spares callers a refusal: where links to three servers were cut at random for up to 50 ms
-/// beside sixteen callers, some were told that there was no server in one run of nine, and in none
-/// of forty since.
+/// When links fail for some milliseconds, one after the other, a whole pool may be ejected for a
+/// second although all but one of its servers can be reached. Another connection attempt takes a
+/// millisecond and spares callers a refusal. Without it, with random link failures of up to 50 ms
+/// before three servers and sixteen callers, callers were refused in one run of nine; with it in
+/// none of forty.
 fn last_resort(view: &View<'_>, ejected: &[u32]) -> Option<u32> {
-    let able = ejected.iter().copied().filter(|slot| view.can_try(*slot));
-    able.min_by_key(|slot| view.server(*slot).health.ejected_until())
+    let candidates = ejected
+        .iter()
+        .copied()
+        .filter(|index| view.can_reconnect(*index));
+    candidates.min_by_key(|index| view.server(*index).health.ejected_until())
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,4 +1,4 @@
-//! Ejection of servers that fail, and the probe that lets them back.
+//! Outlier ejection of failing servers, and the probe that readmits them.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 pub enum ErrorKind {
     /// The connection was refused or reset at once: nothing was sent.
     Connect,
-    /// No connection within the time for it: nothing was sent.
+    /// The connect timed out: nothing was sent.
     Unreachable,
-    /// Another server has its address and ran nothing: it is gone.
+    /// Another server has taken over its address and executed nothing: the intended server is gone.
     Misdirected,
-    /// The server answered that it failed.
+    /// The server answered with an error status.
     Status,
     /// No first token in time.
     Timeout,
-    /// The answer broke off or made no sense.
+    /// The answer was cut off or malformed.
     Broken,
 }
 
 impl ErrorKind {
-    /// Whether the server isn't where it was said to be. Overload causes none of these.
+    /// Whether the server is absent from its address. Overload causes none of these errors.
     #[must_use]
-    pub fn is_away(self) -> bool {
+    pub fn is_absent(self) -> bool {
         match self {
             Self::Connect | Self::Unreachable | Self::Misdirected => true,
             Self::Status | Self::Timeout | Self::Broken => false,
@@ -36,73 +36,73 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthPolicy {
     /// Whether servers are ejected at all.
-    pub is_on: bool,
-    /// Errors in a row that eject a server; a failed connect counts as so many.
-    pub streak: u32,
+    pub is_enabled: bool,
+    /// Consecutive errors that eject a server; a failed connect counts as this many.
+    pub error_streak: u32,
     /// Share of errors that ejects a server without a streak.
-    pub share: f64,
-    /// Largest share of the servers that is ejected for other errors than failed
-    /// connects: an overload must not take the whole pool away.
-    pub max_share: f64,
+    pub error_share: f64,
+    /// Largest share of the servers that may be ejected for errors other than failed connects: an
+    /// overload must not take out the whole pool.
+    pub max_ejected: f64,
     /// First ejection time; doubles with each failed probe.
-    pub base: Duration,
+    pub base_ejection: Duration,
     /// Longest ejection time.
-    pub max: Duration,
+    pub max_ejection: Duration,
 }
 
 impl Default for HealthPolicy {
     fn default() -> Self {
         Self {
-            is_on: true,
-            streak: 3,
-            share: 0.5,
-            max_share: 0.7,
-            base: Duration::from_secs(1),
-            max: Duration::from_secs(30),
+            is_enabled: true,
+            error_streak: 3,
+            error_share: 0.5,
+            max_ejected: 0.7,
+            base_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
         }
     }
 }
 
 impl HealthPolicy {
-    /// No ejection: what a baseline without health checks does.
+    /// Disables ejection, as a baseline without health checks does.
     #[must_use]
     pub fn off() -> Self {
         Self {
-            is_on: false,
+            is_enabled: false,
             ..Self::default()
         }
     }
 }
 
 /// Weight of a new result in the share of errors.
-const GAIN: f64 = 0.1;
-/// Results seen before the share of errors counts.
+const EWMA_WEIGHT: f64 = 0.1;
+/// Results before the share of errors counts.
 const MIN_RESULTS: u32 = 10;
 
-/// Error streak and ejection of one server (a circuit breaker).
+/// Circuit breaker of one server: error streak and ejection.
 ///
-/// An ejected server gets nothing until its time is over, then one probe at a time.
-/// A probe that succeeds lets it back; one that fails ejects it for twice as long.
-/// A server that fails fast looks idle, so in-flight counts alone would send it
-/// everything; what it costs here is the first streak and then a probe now and then.
+/// An ejected server gets nothing until its ejection time is over, then one probe at a time. A
+/// successful probe readmits it; a failed one ejects it for twice as long. A server that fails fast
+/// looks idle, so selection by requests in flight alone would send it everything; here it costs the
+/// first streak and an occasional probe.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     streak: u32,
-    errors: f64,
+    error_share: f64,
     results: u32,
-    /// Ejected until then, at the first result after which a probe decides.
+    /// End of the ejection; the first probe after it decides.
     until: Option<Micros>,
-    /// Ejection time in force.
-    term: Micros,
-    probing: bool,
-    /// Whether it was ejected last for a connection that was refused at once.
-    refused: bool,
+    /// Length of the current ejection.
+    ejection_time: Micros,
+    is_probing: bool,
+    /// Whether the last ejection was for a connection that was refused at once.
+    was_refused: bool,
     /// Ejections since the last lasting recovery.
     ejections: u32,
 }
 
 impl Health {
-    /// Whether the server takes any work.
+    /// Whether the server takes work, that is, isn't ejected.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.until.is_none()
@@ -111,13 +111,13 @@
     /// Whether an ejected server is due for a probe.
     #[must_use]
     pub fn wants_probe(&self, now: Micros) -> bool {
-        !self.probing && self.until.is_some_and(|until| now >= until)
+        !self.is_probing && self.until.is_some_and(|until| now >= until)
     }
 
-    /// Whether it is ejected and another try would cost no time: it refused a connection.
+    /// Whether it is ejected for a refused connection, so that another attempt costs no time.
     #[must_use]
     pub fn is_refusing(&self) -> bool {
-        self.until.is_some() && self.refused
+        self.until.is_some() && self.was_refused
     }
 
     /// When the server may be probed, if it is ejected.
@@ -129,10 +129,10 @@
     /// Share of errors among recent results.
     #[must_use]
     pub fn error_share(&self) -> f64 {
-        self.errors
+        self.error_share
     }
 
-    /// Times that the server was ejected since it last recovered for good.
+    /// Ejections since the server's last lasting recovery.
     #[must_use]
     pub fn ejections(&self) -> u32 {
         self.ejections
@@ -140,28 +140,28 @@
 
     pub(crate) fn on_sent(&mut self) {
         if self.until.is_some() {
-            self.probing = true;
+            self.is_probing = true;
         }
     }
 
-    /// The dispatch ended without saying anything of the server's health.
-    pub(crate) fn on_unused(&mut self) {
-        self.probing = false;
+    /// The dispatch ended without a result that reflects on the server's health.
+    pub(crate) fn on_abandoned(&mut self) {
+        self.is_probing = false;
     }
 
     pub(crate) fn on_success(&mut self) {
-        self.errors *= 1.0 - GAIN;
+        self.error_share *= 1.0 - EWMA_WEIGHT;
         self.results = self.results.saturating_add(1);
         self.streak = 0;
         if self.until.take().is_some() {
-            // The share before the ejection is history; the streak starts anew.
-            self.errors = 0.0;
+            // Errors from before the ejection don't count after a recovery.
+            self.error_share = 0.0;
             self.results = 0;
         }
-        self.probing = false;
+        self.is_probing = false;
         if self.results > 4 * MIN_RESULTS {
             self.ejections = 0;
-            self.term = 0;
+            self.ejection_time = 0;
         }
     }
 
@@ -172,38 +172,43 @@
         policy: &HealthPolicy,
         may_eject: bool,
     ) {
-        self.errors += GAIN * (1.0 - self.errors);
+        self.error_share += EWMA_WEIGHT * (1.0 - self.error_share);
         self.results = self.results.saturating_add(1);
-        let step = if kind.is_away() { policy.streak } else { 1 };
+        let step = if kind.is_absent() {
+            policy.error_streak
+        } else {
+            1
+        };
         self.streak = self.streak.saturating_add(step);
-        let was_probe = std::mem::take(&mut self.probing);
-        let is_failing = self.results >= MIN_RESULTS && self.errors > policy.share;
+        let was_probe = std::mem::take(&mut self.is_probing);
+        let is_failing = self.results >= MIN_RESULTS && self.error_share > policy.error_share;
         let is_ejected = self.until.is_some();
-        // Errors of work sent before the ejection don't prolong it.
+        // Errors of requests sent before the ejection don't prolong it.
         let ejects = if is_ejected {
             was_probe
         } else {
-            may_eject && (self.streak >= policy.streak || is_failing)
+            may_eject && (self.streak >= policy.error_streak || is_failing)
         };
-        if policy.is_on && ejects {
-            self.refused = kind == ErrorKind::Connect;
+        if policy.is_enabled && ejects {
+            self.was_refused = kind == ErrorKind::Connect;
             self.eject(now, kind, policy);
         }
     }
 
     fn eject(&mut self, now: Micros, kind: ErrorKind, policy: &HealthPolicy) {
-        let base = policy.base.as_micros() as Micros;
-        let max = base.max(policy.max.as_micros() as Micros);
-        // A server whose address another one has is gone from there, and its next start has an entry
-        // of its own, which begins anew. Routers that can't hear of that probed such servers with
-        // callers' requests: 814 of 1,397 misdirected sends in twelve seconds of 295 routers.
-        let least = if kind == ErrorKind::Misdirected {
+        let base = policy.base_ejection.as_micros() as Micros;
+        let max = base.max(policy.max_ejection.as_micros() as Micros);
+        // A server whose address belongs to another one is gone from there, and its next instance
+        // has an entry of its own with fresh state. Routers that are cut off from the directory
+        // would go on probing such servers with callers' requests: with 295 routers, 814 of 1,397
+        // misdirected attempts within twelve seconds were such probes.
+        let min = if kind == ErrorKind::Misdirected {
             max
         } else {
             base
         };
-        self.term = (self.term * 2).clamp(least, max);
-        self.until = Some(now + self.term);
+        self.ejection_time = (self.ejection_time * 2).clamp(min, max);
+        self.until = Some(now + self.ejection_time);
         self.ejections = self.ejections.saturating_add(1);
         self.streak = 0;
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,44 +1,43 @@
-//! Choice of a backend server, load tracking, retry budget.
+//! Selection of a backend server, load tracking and retry budget.
 //!
-//! Nothing here does I/O: time, randomness and what was seen of the servers are
-//! arguments. A [`Fleet`] keeps what one router knows of one pool's servers and asks
-//! a [`Policy`] to choose. A pick takes a few hundred nanoseconds, so a `Mutex`
-//! around the fleet is held only briefly; [`Fleet::send`] picks and counts in one
-//! step.
+//! This crate does no I/O: time, randomness and observations of the servers are arguments. A
+//! [`Fleet`] holds what one router knows of one pool's servers and asks a [`Policy`] to choose. A
+//! pick takes a few hundred nanoseconds, so a `Mutex` around the fleet is held only briefly;
+//! [`Fleet::send`] picks a server and counts the request in one step.
 //!
-//! What is known of a server comes from four sides: the configuration and the VM list
-//! (`spec`), its load reports and the router's own requests (`load`), its errors
-//! (`health`) and its times (`slowness`). Reading order: `spec`, `server`, `fleet`,
-//! `policy`, then `expected`, the policy in use; those of `baseline` are there to be
-//! compared with it. `retry` stands alone.
+//! A server's state comes from four sources: the configuration and the VM list (`spec`), its load
+//! reports and the router's own requests (`load`), its errors (`health`) and its latencies
+//! (`slowness`, `timing`). Suggested reading order: `spec`, `server`, `fleet`, `policy`, then the
+//! policies `expected` and `prefill_isolation`; those of `baseline` serve for comparison. `retry`
+//! is independent of the rest.
 
+mod backlog;
 mod baseline;
 mod expected;
 mod fleet;
-mod flow;
 mod health;
 mod load;
-mod note;
 mod policy;
+mod prefill_isolation;
+mod recent;
 mod rendezvous;
 mod retry;
-mod seen;
 mod server;
 mod slowness;
 mod spec;
-mod unmixed;
-mod unread;
+mod timing;
+mod update;
 
 pub use baseline::{LeastReported, Random, RoundRobin, TwoChoices};
 pub use expected::{ExpectedWait, ScorePolicy};
 pub use fleet::{Fleet, Warmup};
-pub use flow::Flow;
 pub use health::{ErrorKind, Health, HealthPolicy};
 pub use load::{Load, LoadReport};
-pub use note::Note;
-pub use policy::{Pick, Policy, Prompt, View};
+pub use policy::{PickArgs, Policy, Prompt, View};
+pub use prefill_isolation::PrefillIsolation;
 pub use rendezvous::Rendezvous;
 pub use retry::RetryBudget;
-pub use server::{Sent, Server, ServerIdx, ServerView};
+pub use server::{Dispatch, Server, ServerIdx, ServerView};
 pub use spec::{FleetPolicy, ListedVm, ServerSpec};
-pub use unmixed::Unmixed;
+pub use timing::StreamGaps;
+pub use update::ServerUpdate;
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,4 +1,4 @@
-//! What a routing policy sees and decides.
+//! Input and output of a routing policy.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -7,37 +7,37 @@
 use swiftlink_types::{DomainName, Micros};
 
 use crate::expected::mix;
-use crate::seen::Seen;
+use crate::recent::RecentPrefixes;
 use crate::server::{Server, ServerIdx};
 
 /// Length of a prompt, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens of the request's own.
+    /// Tokens that belong to this request only.
     pub own: u64,
-    /// Tokens of the parts before, which other requests have too.
+    /// Tokens of the leading part that other requests have in common.
     pub shared: u64,
 }
 
-/// A request that needs a server.
+/// What a policy knows of the request that needs a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pick<'a> {
+pub struct PickArgs<'a> {
     /// The time now.
     pub now: Micros,
     /// Hash of the prompt's prefix; 0 when there is none.
     pub prefix: u64,
-    /// Length of the prompt; nothing where it isn't told.
+    /// Length of the prompt; zero when unknown.
     pub prompt: Prompt,
-    /// Time to the first event that the caller hopes for.
-    pub aim: Micros,
+    /// Time to the first event that the caller aims for.
+    pub ttft_target: Micros,
     /// Servers that were tried for this request.
     pub exclude: &'a [ServerIdx],
-    /// Failure domains that the request may go to; all where there is nothing.
+    /// Failure domains that the request may go to; `None` allows all.
     pub domains: Option<&'a HashSet<DomainName>>,
-    /// Whether it is one of a trial, which certain servers are for.
-    pub is_trial: bool,
-    /// Whether the request may be the probe of an ejected server; not for one that
-    /// may run at most once.
+    /// Whether it is a canary request, which goes to canary servers only.
+    pub is_canary: bool,
+    /// Whether the request may be the probe of an ejected server; false for one that may run at
+    /// most once.
     pub may_probe: bool,
 }
 
@@ -47,112 +47,112 @@
     pub(crate) servers: &'a [Server],
     pub(crate) open: &'a [u32],
     pub(crate) hashes: &'a [u64],
-    pub(crate) pick: &'a Pick<'a>,
-    pub(crate) pool: &'a PoolTimes,
+    pub(crate) args: &'a PickArgs<'a>,
+    pub(crate) pool: &'a PoolStats,
     pub(crate) seed: u64,
-    /// Prefixes that servers have read.
-    pub(crate) read: &'a Seen,
-    /// Time in which a server of ordinary speed reads a token (µs); 0 when unknown.
-    pub(crate) read_time: f64,
+    /// Pairs of a prefix and a server that were used recently; see [`cache_key`].
+    pub(crate) cached: &'a RecentPrefixes,
+    /// Prefill time per token of a server of ordinary speed (µs); 0 when unknown.
+    pub(crate) per_token: f64,
 }
 
 impl<'a> View<'a> {
-    /// The request.
+    /// What is known of the request.
     #[must_use]
-    pub fn pick(&self) -> &Pick<'a> {
-        self.pick
+    pub fn args(&self) -> &PickArgs<'a> {
+        self.args
     }
 
     /// The time now.
     #[must_use]
     pub fn now(&self) -> Micros {
-        self.pick.now
+        self.args.now
     }
 
-    /// Sets this router apart from the others.
+    /// Seed that differs between routers.
     #[must_use]
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Slots of the servers that are members of the subset and not leaving. They may
-    /// be ejected or excluded: see [`Self::can_take`].
+    /// Indices of the servers that are members of the subset and available. They may be ejected or
+    /// excluded: see [`Self::can_take`].
     #[must_use]
     pub fn open(&self) -> &'a [u32] {
         self.open
     }
 
-    /// Hashes of the names of [`Self::open`], in the same order and side by side: a
-    /// rendezvous over all servers reads little memory.
+    /// Name hashes of [`Self::open`], in the same order and contiguous, so that rendezvous hashing
+    /// over all servers reads little memory.
     #[must_use]
     pub fn hashes(&self) -> &'a [u64] {
         self.hashes
     }
 
-    /// The server in a slot.
+    /// The server at an index.
     #[must_use]
-    pub fn server(&self, slot: u32) -> &'a Server {
-        &self.servers[slot as usize]
+    pub fn server(&self, index: u32) -> &'a Server {
+        &self.servers[index as usize]
     }
 
-    /// Whether long prompts should be kept away from the server: they would stall the
-    /// streams there for longer than their callers accept.
+    /// Whether the server is isolated from long prompts, whose prefill would stall its streams for
+    /// longer than their callers accept.
     #[must_use]
-    pub fn is_quiet(&self, slot: u32) -> bool {
-        self.server(slot).is_quiet
+    pub fn is_isolated(&self, index: u32) -> bool {
+        self.server(index).is_isolated
     }
 
-    /// Tokens of the prompt that the server has to read, as far as it is known: the shared
-    /// parts are cached where a request with the same prefix went before.
+    /// Estimated prompt tokens that the server has to prefill: the shared part is cached where a
+    /// request with the same prefix went recently.
     #[must_use]
-    pub fn unread(&self, slot: u32) -> u64 {
-        let pick = self.pick;
-        let place = pair(pick.prefix, self.server(slot).start_hash());
-        if pick.prefix != 0 && self.read.has(place, self.now()) {
-            return pick.prompt.own;
+    pub fn prefill_tokens(&self, index: u32) -> u64 {
+        let args = self.args;
+        let key = cache_key(args.prefix, self.server(index).instance_hash());
+        if args.prefix != 0 && self.cached.contains(key, self.now()) {
+            return args.prompt.own;
         }
-        pick.prompt.own + pick.prompt.shared
+        args.prompt.own + args.prompt.shared
     }
 
-    /// Tokens of other prompts that the server still has to read.
+    /// Prefill backlog of the server: tokens of other prompts that it has still to process.
     #[must_use]
-    pub fn ahead(&self, slot: u32) -> u64 {
-        self.server(slot).unread.all(self.now())
+    pub fn backlog(&self, index: u32) -> u64 {
+        self.server(index).backlog.total(self.now())
     }
 
-    /// Time in which the server reads `tokens` of prompts (µs); 0 while that isn't known.
+    /// Time to prefill `tokens` at the server (µs); 0 while the speed is unknown.
     #[must_use]
-    pub fn reading(&self, slot: u32, tokens: u64) -> f64 {
-        tokens as f64 * self.read_time * self.server(slot).slower()
+    pub fn prefill_time(&self, index: u32, tokens: u64) -> f64 {
+        tokens as f64 * self.per_token * self.server(index).gap_ratio()
     }
 
-    /// Whether the server may be given this request as ordinary work.
+    /// Whether the server can take this request as regular work.
     #[must_use]
-    pub fn can_take(&self, slot: u32) -> bool {
-        self.server(slot).health.is_open() && !self.is_excluded(slot)
+    pub fn can_take(&self, index: u32) -> bool {
+        self.server(index).health.is_open() && !self.is_excluded(index)
     }
 
-    /// Whether the server may be given this request as its probe.
+    /// Whether the server can take this request as its probe.
     #[must_use]
-    pub fn can_probe(&self, slot: u32) -> bool {
-        let health = &self.server(slot).health;
-        self.pick.may_probe && health.wants_probe(self.now()) && !self.is_excluded(slot)
+    pub fn can_probe(&self, index: u32) -> bool {
+        let health = &self.server(index).health;
+        self.args.may_probe && health.wants_probe(self.now()) && !self.is_excluded(index)
     }
 
-    /// Whether an ejected server may be given this request where no other is left: a
-    /// connection that is refused again costs no time, and nothing is sent.
+    /// Whether to try an ejected server again when no other is left: a refused connection costs no
+    /// time, and nothing is sent.
     #[must_use]
-    pub fn can_try(&self, slot: u32) -> bool {
-        self.server(slot).health.is_refusing() && !self.is_excluded(slot)
+    pub fn can_reconnect(&self, index: u32) -> bool {
+        self.server(index).health.is_refusing() && !self.is_excluded(index)
     }
 
-    /// Estimated requests at a server for each of its slots.
+    /// Estimated requests per slot of a server.
     ///
-    /// All routers see the same reports, so each corrects only its own share of a
-    /// difference between the servers; else together they would overshoot.
+    /// All routers see the same reports, so each corrects only its own share of an imbalance
+    /// between the servers; otherwise they would overshoot together.
     #[must_use]
-    pub fn load(&self, slot: u32) -> f64 {
-        let server = self.server(slot);
+    pub fn load(&self, index: u32) -> f64 {
+        let server = self.server(index);
         let load = server.load();
         let mean = self.pool.others;
         let excess = load.others(self.now()) - mean;
@@ -160,33 +160,33 @@
         all.max(0.0) / f64::from(server.slots())
     }
 
-    /// Expected time to the first token (µs) of a server of ordinary speed at `load`
-    /// requests for each slot.
+    /// Expected time to the first token (µs) of a server of ordinary speed at `load` requests per
+    /// slot.
     #[must_use]
-    pub fn expected_first(&self, load: f64) -> f64 {
+    pub fn expected_ttft(&self, load: f64) -> f64 {
         self.pool.expected(load)
     }
 
-    /// Whether the request was tried there, or may not go to the server or to its failure domain.
-    pub(crate) fn is_excluded(&self, slot: u32) -> bool {
-        if self.server(slot).is_trial != self.pick.is_trial {
+    /// Whether the request was tried there, or may not go to the server or its failure domain.
+    pub(crate) fn is_excluded(&self, index: u32) -> bool {
+        if self.server(index).is_canary != self.args.is_canary {
             return true;
         }
-        let domain = self.server(slot).domain();
+        let domain = self.server(index).domain();
         if self
-            .pick
+            .args
             .domains
             .is_some_and(|allowed| !allowed.contains(domain))
         {
             return true;
         }
-        let mut exclude = self.pick.exclude.iter();
-        exclude.any(|idx| idx.slot == slot)
+        let mut exclude = self.args.exclude.iter();
+        exclude.any(|idx| idx.index == index)
     }
 }
 
-/// A prefix at a server.
-pub(crate) fn pair(prefix: u64, server: u64) -> u64 {
+/// Key of a prefix cached at a server instance.
+pub(crate) fn cache_key(prefix: u64, server: u64) -> u64 {
     mix(prefix ^ server.rotate_left(1))
 }
 
@@ -195,75 +195,75 @@
     /// Name of the policy.
     fn name(&self) -> &'static str;
 
-    /// The slot of the server to use, one that [`View::can_take`].
+    /// Index of the chosen server, one that [`View::can_take`]; `None` when there is none.
     fn pick(&mut self, view: &View<'_>, rng: &mut dyn Rng) -> Option<u32>;
 }
 
-/// An index below `len`, drawn evenly; `len` must not be 0.
+/// A uniformly random index below `len`, which must not be 0.
 pub(crate) fn draw(rng: &mut dyn Rng, len: usize) -> usize {
     let wide = u64::from(rng.next_u32()) * len as u64;
     (wide >> 32) as usize
 }
 
-/// Times of the whole pool, learned from what was seen.
+/// Latencies and load of the whole pool, estimated from all servers' samples.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PoolTimes {
+pub(crate) struct PoolStats {
     /// Time to the first token of an idle server (µs), a geometric mean.
     base: Option<f64>,
     /// Time of a whole request (µs), a geometric mean.
     service: Option<f64>,
-    /// Time of a token after the first (µs), a geometric mean.
-    pace: Option<f64>,
-    /// Own and others' requests at a server, on average.
+    /// Time per token after the first (µs), a geometric mean.
+    inter_token: Option<f64>,
+    /// Mean requests at a server: this router's, and those of other routers.
     own: f64,
     others: f64,
 }
 
-/// Weight of a new sample; in logarithms, so that outliers weigh little.
-const GAIN: f64 = 0.02;
-/// Growth of the time to the first token from an idle to a full server.
-const SLOPE: f64 = 1.0;
-/// Part of the service time that a server with all slots in use is expected to add,
-/// and how steeply that falls off with its load.
-const RISK: f64 = 0.1;
-const RISK_POWER: i32 = 6;
+/// Weight of a new sample. Times are averaged as logarithms, so outliers weigh little.
+const EWMA_WEIGHT: f64 = 0.02;
+/// Relative growth of the time to the first token from an idle to a full server.
+const LOAD_SLOPE: f64 = 1.0;
+/// Fraction of the service time that a server with all slots in use is expected to add, and the
+/// power with which it falls off at lower load.
+const QUEUE_RISK: f64 = 0.1;
+const QUEUE_RISK_POWER: i32 = 6;
 /// Base time before any sample (µs).
-const FIRST_BASE: f64 = 50_000.0;
-/// Service time before any sample, in base times.
-const FIRST_SERVICE: f64 = 10.0;
+const INITIAL_BASE: f64 = 50_000.0;
+/// Service time before any sample, as a multiple of the base time.
+const INITIAL_SERVICE: f64 = 10.0;
 
-impl PoolTimes {
+impl PoolStats {
     pub(crate) fn new() -> Self {
         Self {
             base: None,
             service: None,
-            pace: None,
+            inter_token: None,
             own: 0.0,
             others: 0.0,
         }
     }
 
-    /// Expected time to the first token at `load` requests for each slot.
+    /// Expected time to the first token (µs) at `load` requests per slot.
     pub(crate) fn expected(&self, load: f64) -> f64 {
-        let base = self.base.unwrap_or(FIRST_BASE);
-        base * (1.0 + SLOPE * load.min(1.0)) + self.queueing(load)
+        let base = self.base.unwrap_or(INITIAL_BASE);
+        base * (1.0 + LOAD_SLOPE * load.min(1.0)) + self.queueing(load)
     }
 
-    /// Takes a time to the first token seen at `load`, of a server `slowness` times
-    /// slower than the pool.
-    pub(crate) fn learn_first(&mut self, load: f64, time: f64, slowness: f64) {
+    /// Learns from a time to the first token at `load`, of a server `slowness` times slower than
+    /// the pool.
+    pub(crate) fn learn_ttft(&mut self, load: f64, time: f64, slowness: f64) {
         let free = (time / slowness - self.queueing(load)).max(time * 0.1);
-        let base = (free / (1.0 + SLOPE * load.min(1.0))).max(1.0);
-        self.base = Some(follow(self.base.unwrap_or(base), base));
+        let base = (free / (1.0 + LOAD_SLOPE * load.min(1.0))).max(1.0);
+        self.base = Some(geometric_ewma(self.base.unwrap_or(base), base));
     }
 
-    /// Takes the own and the others' requests that a report shows.
+    /// Learns from the own and the others' requests that a report shows.
     pub(crate) fn learn_load(&mut self, own: f64, others: f64) {
-        self.own += GAIN * (own - self.own);
-        self.others += GAIN * (others - self.others);
+        self.own += EWMA_WEIGHT * (own - self.own);
+        self.others += EWMA_WEIGHT * (others - self.others);
     }
 
-    /// Own part of all requests at the servers.
+    /// This router's share of all requests at the servers.
     fn own_share(&self) -> f64 {
         let all = self.own + self.others;
         if all > 0.0 { self.own / all } else { 1.0 }
@@ -271,27 +271,27 @@
 
     pub(crate) fn learn_service(&mut self, time: f64) {
         let time = time.max(1.0);
-        self.service = Some(follow(self.service.unwrap_or(time), time));
+        self.service = Some(geometric_ewma(self.service.unwrap_or(time), time));
     }
 
-    /// Takes the time of a token; answers its ratio to the pool's.
-    pub(crate) fn learn_pace(&mut self, pace: f64) -> f64 {
-        let old = self.pace.unwrap_or(pace);
-        self.pace = Some(follow(old, pace));
-        pace / old
+    /// Learns from a time per token; returns its ratio to the pool's.
+    pub(crate) fn learn_inter_token(&mut self, inter_token: f64) -> f64 {
+        let old = self.inter_token.unwrap_or(inter_token);
+        self.inter_token = Some(geometric_ewma(old, inter_token));
+        inter_token / old
     }
 
-    /// Wait at a server that has more requests than slots, and the risk of one that
-    /// may soon: the load is an estimate.
+    /// Wait at a server with more requests than slots, plus the risk of a wait at one that may have
+    /// more soon: the load is an estimate.
     fn queueing(&self, load: f64) -> f64 {
-        let base = self.base.unwrap_or(FIRST_BASE);
-        let service = self.service.unwrap_or(base * FIRST_SERVICE);
-        let risk = RISK * load.min(1.0).powi(RISK_POWER);
+        let base = self.base.unwrap_or(INITIAL_BASE);
+        let service = self.service.unwrap_or(base * INITIAL_SERVICE);
+        let risk = QUEUE_RISK * load.min(1.0).powi(QUEUE_RISK_POWER);
         service * (risk + (load - 1.0).max(0.0))
     }
 }
 
-/// The geometric mean after one more value.
-fn follow(mean: f64, value: f64) -> f64 {
-    mean * (value / mean).powf(GAIN)
+/// Geometric mean updated with one more value.
+fn geometric_ewma(mean: f64, value: f64) -> f64 {
+    mean * (value / mean).powf(EWMA_WEIGHT)
 }
--- /dev/null
+++ b/crates/routing/src/prefill_isolation.rs
@@ -0,0 +1,160 @@
+//! Placement by the prompt's prefix that isolates streams at slow servers from the prefill of long
+//! prompts.
+
+use rand::Rng;
+
+use crate::baseline::TwoChoices;
+use crate::expected::mix;
+use crate::policy::{Policy, View};
+use crate::rendezvous::bound;
+
+/// Weight of a request in the mean prompt length.
+const EWMA_WEIGHT: f64 = 1.0 / 64.0;
+/// Weight of the prefill time of the request's own prompt: all requests behind it wait for that
+/// too. Insensitive: 4 behaves like 2.
+const OWN_WEIGHT: f64 = 2.0;
+/// Fraction of the target for the first event that may pass before waiting counts. Insensitive: 0.5
+/// behaves like 0.25.
+const FREE_WAIT: f64 = 0.25;
+
+/// Chooses the first server in the prefix's rendezvous order that isn't overloaded, among those for
+/// prompts of its length.
+///
+/// Where the servers of a pool differ in speed, long prompts stall the streams of the slower ones
+/// for longer than callers accept ([`View::is_isolated`]). These servers get prompts that are
+/// shorter than the mean, while their prefill backlog is small; the others get the rest. Where a
+/// third of the servers takes 1.3 times as long as the others, this lowers the share of streams
+/// with short prompts that pause for too long from a quarter to one in twelve.
+///
+/// Among the eligible servers, the one with the least prefill time is chosen: its backlog, as far
+/// as this router and its peers know it, plus the tokens of this prompt that it hasn't cached. A
+/// prefix stays at its preferred server until the wait there takes a considerable part of the
+/// target time.
+#[derive(Debug, Default)]
+pub struct PrefillIsolation {
+    fallback: TwoChoices,
+    /// Moving average of prompt lengths, in tokens.
+    mean: Option<f64>,
+}
+
+impl PrefillIsolation {
+    /// Adds a prompt's length to the average; returns the average, in tokens.
+    fn update_mean(&mut self, length: u64) -> f64 {
+        let length = length as f64;
+        let mean = self.mean.get_or_insert(length);
+        *mean += EWMA_WEIGHT * (length - *mean);
+        *mean
+    }
+}
+
+/// Which servers are eligible for prompts of one length.
+struct Eligibility<'a> {
+    view: &'a View<'a>,
+    /// Whether the prompt goes to an isolated server.
+    is_isolated: bool,
+    /// Backlog from which on an isolated server is too busy (tokens).
+    max_backlog: f64,
+}
+
+impl<'a> Eligibility<'a> {
+    /// A prompt that is shorter than the mean is eligible for the isolated servers whose backlog is
+    /// less than a mean prompt. The threshold is the mean since, where lengths differ much, few
+    /// prompts are longer than it but hold most of the tokens.
+    fn new(view: &'a View<'a>, length: u64, mean: f64) -> Self {
+        let mut eligibility = Self {
+            view,
+            is_isolated: true,
+            max_backlog: mean,
+        };
+        let is_short = (length as f64) < mean;
+        eligibility.is_isolated =
+            is_short && view.open().iter().any(|index| eligibility.accepts(*index));
+        eligibility
+    }
+
+    fn accepts(&self, index: u32) -> bool {
+        if !self.view.can_take(index) {
+            return false;
+        }
+        let is_isolated = self.view.is_isolated(index);
+        if !self.is_isolated {
+            return !is_isolated;
+        }
+        is_isolated && (self.view.backlog(index) as f64) < self.max_backlog
+    }
+}
+
+impl Policy for PrefillIsolation {
+    fn name(&self) -> &'static str {
+        "unmixed"
+    }
+
+    fn pick(&mut self, view: &View<'_>, rng: &mut dyn Rng) -> Option<u32> {
+        let prefix = view.args().prefix;
+        if prefix == 0 {
+            return self.fallback.pick(view, rng);
+        }
+        let prompt = view.args().prompt;
+        let length = prompt.own + prompt.shared;
+        let mean = self.update_mean(length);
+        let eligibility = Eligibility::new(view, length, mean);
+        let bound = bound(view, |index| eligibility.accepts(index));
+        let preferred = preferred(view, &eligibility);
+        let mut best: Option<(Rank, u32)> = None;
+        for (index, hash) in view.open().iter().copied().zip(view.hashes()) {
+            if !view.can_take(index) {
+                continue;
+            }
+            let server = view.server(index);
+            let prefill = if preferred == Some(index) {
+                // Other routers send the prefix there too, so its shared part is cached.
+                prompt.own
+            } else {
+                view.prefill_tokens(index)
+            };
+            let own = view.prefill_time(index, prefill);
+            let wait = view.prefill_time(index, view.backlog(index)) + own
+                - FREE_WAIT * view.args().ttft_target as f64;
+            let rank = Rank {
+                is_eligible: eligibility.accepts(index),
+                is_below_bound: f64::from(server.load().in_flight()) <= bound,
+                work: wait.max(0.0) + OWN_WEIGHT * own,
+                weight: mix(hash ^ prefix),
+            };
+            if best
+                .as_ref()
+                .is_none_or(|(current, _)| rank.is_better(current))
+            {
+                best = Some((rank, index));
+            }
+        }
+        best.map(|(_, index)| index)
+    }
+}
+
+/// Suitability of a server for a request.
+struct Rank {
+    is_eligible: bool,
+    is_below_bound: bool,
+    /// Prefill time that it costs this caller and others (µs).
+    work: f64,
+    weight: u64,
+}
+
+impl Rank {
+    fn is_better(&self, other: &Self) -> bool {
+        let tier =
+            (self.is_eligible, self.is_below_bound).cmp(&(other.is_eligible, other.is_below_bound));
+        let less = other.work.total_cmp(&self.work);
+        tier.then(less).then(self.weight.cmp(&other.weight)).is_gt()
+    }
+}
+
+/// The first eligible server in the prefix's rendezvous order.
+fn preferred(view: &View<'_>, eligibility: &Eligibility<'_>) -> Option<u32> {
+    let prefix = view.args().prefix;
+    let servers = view.open().iter().copied().zip(view.hashes());
+    let eligible = servers.filter(|(index, _)| eligibility.accepts(*index));
+    let best = eligible.max_by_key(|(_, hash)| mix(*hash ^ prefix));
+    best.map(|(index, _)| index)
+}
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,91 +1,96 @@
-//! What a router knows of one backend server.
+//! State of one backend server as a router knows it.
 
 use swiftlink_types::{DomainName, Micros, ServerName, Start, VmName};
 
-use crate::flow::Pace;
+use crate::backlog::PrefillBacklog;
 use crate::health::Health;
 use crate::load::Load;
-use crate::note::News;
 use crate::slowness::Slowness;
-use crate::unread::Unread;
+use crate::timing::EventGap;
+use crate::update::PendingUpdate;
 
-/// Names a start of a server within a [`crate::Fleet`]; never reused for another one.
+/// Identifies a server instance within a [`crate::Fleet`]; never reused for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerIdx {
-    pub(crate) slot: u32,
+    pub(crate) index: u32,
     pub(crate) generation: u32,
 }
 
 impl ServerIdx {
     /// Position in the fleet's table; for policies.
     #[must_use]
-    pub fn slot(self) -> usize {
-        self.slot as usize
+    pub fn index(self) -> usize {
+        self.index as usize
     }
 }
 
-/// One dispatch in progress. Ends in exactly one of the fleet's `on_end`,
-/// `on_error` and `on_unused`.
+/// One request sent to a server. Has to be ended by exactly one of the fleet's `on_end`, `on_error`
+/// and `on_abandoned`.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a dispatch has to be ended"]
-pub struct Sent {
+pub struct Dispatch {
     /// The server.
     pub idx: ServerIdx,
     /// When it was sent.
     pub at: Micros,
     /// Tokens of the answer so far, if the caller of the fleet counts them.
     pub tokens: u64,
-    /// Tokens of the prompt that the server has to read.
-    pub(crate) unread: u64,
-    /// The same of those before it.
-    pub(crate) ahead: u64,
+    /// Prompt tokens of this request that the server has to prefill.
+    pub(crate) prefill: u64,
+    /// The server's prefill backlog in front of it (tokens).
+    pub(crate) backlog: u64,
     pub(crate) first_at: Option<Micros>,
     /// Load at the time of sending, in thousandths of the server's slots.
     pub(crate) load: u32,
 }
 
-/// State of one start of a server, as policies see it.
+/// State of one server instance, as policies see it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub(crate) start: Start,
+    pub(crate) instance: Start,
     pub(crate) domain: DomainName,
     pub(crate) vm: Option<VmName>,
+    /// Hash of its name.
     pub(crate) hash: u64,
-    pub(crate) start_hash: u64,
+    pub(crate) instance_hash: u64,
     pub(crate) generation: u32,
     pub(crate) slots: u32,
-    pub(crate) is_home: bool,
+    pub(crate) is_local: bool,
+    /// Whether it is in the subset that this router uses.
     pub(crate) is_member: bool,
+    /// Whether its resource drains it, or it announced that it is draining.
     pub(crate) is_drained: bool,
-    /// Whether it takes the requests of a trial, and no others.
-    pub(crate) is_trial: bool,
-    pub(crate) is_listed_out: bool,
-    /// Whether operators have emptied its failure domain.
-    pub(crate) is_emptied: bool,
-    /// Whether it asked for rest that isn't over.
-    pub(crate) is_resting: bool,
-    /// Until when it asked for rest; 0 when it never did.
-    pub(crate) rests_until: Micros,
-    /// Until when it is cold; 0 when it never was.
+    /// Whether it takes canary requests, and no others.
+    pub(crate) is_canary: bool,
+    /// Whether its VM is leaving, or has disappeared from the VM list.
+    pub(crate) is_vm_leaving: bool,
+    /// Whether operators have drained its failure domain.
+    pub(crate) is_domain_drained: bool,
+    /// Whether it asked for a backoff that isn't over.
+    pub(crate) is_backed_off: bool,
+    /// End of the longest backoff that it asked for; 0 when it never did.
+    pub(crate) backoff_until: Micros,
+    /// When it becomes warm; 0 when it never was cold.
     pub(crate) cold_until: Micros,
+    /// Whether its VM has been in the VM list.
     pub(crate) was_listed: bool,
-    /// When its own answer said that it is leaving.
+    /// When its own answer said that it is draining.
     pub(crate) draining_at: Option<Micros>,
     pub(crate) load: Load,
     pub(crate) health: Health,
-    /// Slowness by the time to the first token, and by the pace of tokens after it.
-    pub(crate) first: Slowness,
-    pub(crate) pace: Slowness,
-    /// Speed by the pauses between events.
-    pub(crate) flow: Pace,
-    /// How many times slower than the pool it is by that; 1 when unknown.
-    pub(crate) slower: f64,
-    /// Whether long prompts are kept away from it.
-    pub(crate) is_quiet: bool,
-    /// Prompts that it has to read.
-    pub(crate) unread: Unread,
-    /// What peers were not told yet.
-    pub(crate) news: News,
+    /// Slowness by the time to the first token, and by the time per token after it.
+    pub(crate) ttft: Slowness,
+    pub(crate) inter_token: Slowness,
+    /// Speed by the gaps between events.
+    pub(crate) event_gap: EventGap,
+    /// Its gap between events relative to the pool's median; 1 when unknown.
+    pub(crate) gap_ratio: f64,
+    /// Whether it is kept free of long prompts.
+    pub(crate) is_isolated: bool,
+    /// Prompt tokens that it has still to process.
+    pub(crate) backlog: PrefillBacklog,
+    /// Observations that peers don't have yet.
+    pub(crate) pending: PendingUpdate,
     /// Dispatches without a first token yet, and the sum of their send times.
     pub(crate) unanswered: u32,
     pub(crate) sent_sum: u64,
@@ -95,13 +100,13 @@
     /// Its name.
     #[must_use]
     pub fn name(&self) -> &ServerName {
-        &self.start.name
+        &self.instance.name
     }
 
-    /// Its name, and when it started.
+    /// Its name and start time.
     #[must_use]
-    pub fn start(&self) -> &Start {
-        &self.start
+    pub fn instance(&self) -> &Start {
+        &self.instance
     }
 
     /// Its failure domain.
@@ -112,11 +117,11 @@
 
     /// Whether it is in the router's own failure domain.
     #[must_use]
-    pub fn is_home(&self) -> bool {
-        self.is_home
+    pub fn is_local(&self) -> bool {
+        self.is_local
     }
 
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     #[must_use]
     pub fn slots(&self) -> u32 {
         self.slots.max(1)
@@ -128,10 +133,10 @@
         self.hash
     }
 
-    /// Hash of its name and of its start: what it has read is kept by it.
+    /// Hash of its name and start time. Identifies its prefix cache, which a restart clears.
     #[must_use]
-    pub fn start_hash(&self) -> u64 {
-        self.start_hash
+    pub fn instance_hash(&self) -> u64 {
+        self.instance_hash
     }
 
     /// Its load.
@@ -140,11 +145,11 @@
         &self.load
     }
 
-    /// How many times slower than the pool's usual server it is, by the pauses between
-    /// events; below 1 when it is faster.
+    /// Its gap between events relative to the pool's median: how many times slower it is, below 1
+    /// when it is faster.
     #[must_use]
-    pub fn slower(&self) -> f64 {
-        self.slower
+    pub fn gap_ratio(&self) -> f64 {
+        self.gap_ratio
     }
 
     /// Its health.
@@ -153,23 +158,23 @@
         &self.health
     }
 
-    /// Whether it is leaving, by any of the three signals: its resource, the VM
-    /// list, its own answers.
+    /// Whether it is draining, by any of three signals: its resource, the VM list, its own answers.
     #[must_use]
-    pub fn is_leaving(&self) -> bool {
-        self.is_drained || self.is_listed_out || self.draining_at.is_some()
+    pub fn is_draining(&self) -> bool {
+        self.is_drained || self.is_vm_leaving || self.draining_at.is_some()
     }
 
-    /// Whether it may get work: this router uses it, and nobody wants it to get none.
-    pub(crate) fn may_work(&self) -> bool {
-        self.is_member && !self.is_emptied && !self.is_resting && !self.is_leaving()
+    /// Whether it may get work: it is a member of this router's subset, and neither draining,
+    /// backed off nor in a drained failure domain.
+    pub(crate) fn is_available(&self) -> bool {
+        self.is_member && !self.is_domain_drained && !self.is_backed_off && !self.is_draining()
     }
 
-    /// How many times slower it is than the pool, by the time to the first token at
-    /// equal load or by the pace of tokens; 1 when unknown or not much slower.
+    /// How many times slower it is than the pool, by the time to the first token at equal load or
+    /// by the time per token; 1 when unknown or not much slower.
     #[must_use]
     pub fn slowness(&self, now: Micros) -> f64 {
-        self.first.get(now).max(self.pace.get(now))
+        self.ttft.get(now).max(self.inter_token.get(now))
     }
 
     /// Mean age of the dispatches that have no first token yet (µs).
@@ -190,20 +195,20 @@
     }
 
     /// The dispatch has its first token or will never have one.
-    pub(crate) fn answered(&mut self, sent: &Sent) {
-        if sent.first_at.is_some() {
+    pub(crate) fn on_answered(&mut self, dispatch: &Dispatch) {
+        if dispatch.first_at.is_some() {
             return;
         }
         self.unanswered = self.unanswered.saturating_sub(1);
-        self.sent_sum = self.sent_sum.saturating_sub(sent.at);
-        if sent.unread > 0 {
-            self.unread.remove(sent.unread);
-            self.news.is_due = true;
+        self.sent_sum = self.sent_sum.saturating_sub(dispatch.at);
+        if dispatch.prefill > 0 {
+            self.backlog.remove(dispatch.prefill);
+            self.pending.is_due = true;
         }
     }
 }
 
-/// One line of the fleet's dump.
+/// Summary of one server, for dumps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
     /// The server.
@@ -212,20 +217,20 @@
     pub name: ServerName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Whether it is leaving.
-    pub leaving: bool,
+    /// Whether it is draining.
+    pub draining: bool,
     /// Whether it is in the subset that this router uses.
     pub member: bool,
     /// Own requests in flight.
     pub in_flight: u32,
-    /// Running and waiting requests, as last reported.
+    /// Running and queued requests in the last report.
     pub reported: u32,
     /// Estimated requests at the server now.
     pub load: f64,
-    /// Times slower than the pool.
+    /// How many times slower than the pool it is.
     pub slowness: f64,
     /// Share of errors among recent results.
     pub error_share: f64,
-    /// Ejected until then.
+    /// End of its ejection, if it is ejected.
     pub ejected_until: Option<Micros>,
 }
--- a/crates/routing/src/spec.rs
+++ b/crates/routing/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a fleet is told: its settings, the configured servers, the VM list.
+//! Inputs of a fleet: its settings, the configured servers, the VM list.
 
 use swiftlink_types::{DomainName, Micros, Start, VmName};
 
@@ -8,23 +8,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetPolicy {
     /// The router's own failure domain.
-    pub home: DomainName,
-    /// Servers that this router uses and polls; 0: all. Chosen by hash, so that the
-    /// routers' subsets cover the pool evenly.
+    pub domain: DomainName,
+    /// Number of servers that this router uses and polls; 0 for all. They are chosen by hash, so
+    /// that the subsets of all routers cover the pool evenly.
     pub subset: usize,
-    /// Sets this router apart from the others; a hash of its name. Must differ between
-    /// routers.
+    /// Hash of the router's name. Must differ between routers.
     pub seed: u64,
     /// Ejection of failing servers.
     pub health: HealthPolicy,
 }
 
 impl FleetPolicy {
-    /// Settings with defaults for a router in `home`.
+    /// Default settings for a router in `domain`.
     #[must_use]
-    pub fn new(home: DomainName) -> Self {
+    pub fn new(domain: DomainName) -> Self {
         Self {
-            home,
+            domain,
             subset: 0,
             seed: 0,
             health: HealthPolicy::default(),
@@ -35,19 +34,19 @@
 /// A backend server as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSpec {
-    /// Its name, and when it started.
-    pub start: Start,
+    /// Its name and start time.
+    pub instance: Start,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Its VM, if the VM list knows it.
+    /// Its VM, if the VM list has it.
     pub vm: Option<VmName>,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether the operators want it to leave.
+    /// Whether the operators drain it.
     pub drain: bool,
-    /// Whether it takes the requests of a trial, and no others.
-    pub is_trial: bool,
-    /// Until when it is cold, in the clock of the fleet's calls; 0: it is warm.
+    /// Whether it takes canary requests, and no others.
+    pub is_canary: bool,
+    /// When it becomes warm, on the clock of the fleet's methods; 0 when it is warm.
     pub cold_until: Micros,
 }
 
--- /dev/null
+++ b/crates/routing/src/update.rs
@@ -0,0 +1,31 @@
+//! What routers tell each other about backend servers.
+
+use swiftlink_types::Start;
+
+use crate::timing::StreamGaps;
+
+/// Observations of one server by one router, for its peers.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ServerUpdate {
+    /// The observed server instance.
+    pub server: Start,
+    /// Prefill backlog: prompt tokens of the router's requests that the server has still to
+    /// process.
+    pub backlog: u64,
+    /// Event gaps of the server's recent streams.
+    pub gaps: Vec<StreamGaps>,
+    /// Prefixes of the prompts sent there.
+    pub prefixes: Vec<u64>,
+}
+
+/// Observations of one server that peers don't have yet.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PendingUpdate {
+    pub(crate) is_due: bool,
+    pub(crate) gaps: Vec<StreamGaps>,
+    pub(crate) prefixes: Vec<u64>,
+}
+
+/// Limit on the streams, and on the prefixes, of one server in an update; what exceeds it is dropped,
+/// and recording starts again with the next update.
+pub(crate) const MAX_UPDATE_ITEMS: usize = 32;
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -1,12 +1,12 @@
-//! The fleet: who may get work, and what is learned of the servers.
+//! Which servers get work, and what the fleet learns of them.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{
-    ErrorKind, ExpectedWait, Fleet, FleetPolicy, LeastReported, ListedVm, LoadReport, Pick, Policy,
-    Random, RoundRobin, ServerIdx, ServerSpec, TwoChoices,
+    ErrorKind, ExpectedWait, Fleet, FleetPolicy, LeastReported, ListedVm, LoadReport, PickArgs,
+    Policy, Random, RoundRobin, ServerIdx, ServerSpec, TwoChoices,
 };
 use swiftlink_types::{DomainName, ServerName, Start, VmName};
 
@@ -19,12 +19,12 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number| ServerSpec {
-        start: Start::from(ServerName::from(format!("runner-{number}"))),
+        instance: Start::from(ServerName::from(format!("runner-{number}"))),
         domain: DomainName::from(["rennes-a", "brest"][number % 2]),
         vm: Some(VmName::from(format!("vm-{number}"))),
         slots: 8,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     (0..count).map(spec).collect()
@@ -41,12 +41,12 @@
     fleet_of(Box::new(ExpectedWait::default()), count)
 }
 
-fn at(now: u64) -> Pick<'static> {
-    Pick {
+fn at(now: u64) -> PickArgs<'static> {
+    PickArgs {
         now,
-        is_trial: false,
+        is_canary: false,
         may_probe: true,
-        ..Pick::default()
+        ..PickArgs::default()
     }
 }
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn each_signal_of_leaving_stops_new_work() {
+fn each_drain_signal_stops_new_work() {
     let mut fleet = fleet_of(Box::new(Random), 4);
     let idx = named(&fleet, 1);
     assert!(picks_of(&mut fleet, idx, 0) > 0);
@@ -90,15 +90,15 @@
         name: VmName::from(format!("vm-{number}")),
         leaving,
     };
-    fleet.set_listed(&[vm(0, false), vm(1, true)]);
+    fleet.set_vm_list(&[vm(0, false), vm(1, true)]);
     assert_eq!(picks_of(&mut fleet, idx, 0), 0);
-    fleet.set_listed(&[vm(0, false), vm(1, false)]);
+    fleet.set_vm_list(&[vm(0, false), vm(1, false)]);
     assert!(picks_of(&mut fleet, idx, 0) > 0);
-    fleet.set_listed(&[vm(0, false)]);
+    fleet.set_vm_list(&[vm(0, false)]);
     assert_eq!(picks_of(&mut fleet, idx, 0), 0);
     let never_listed = named(&fleet, 3);
     assert!(picks_of(&mut fleet, never_listed, 0) > 0);
-    fleet.set_listed(&[vm(1, false)]);
+    fleet.set_vm_list(&[vm(1, false)]);
 
     fleet.on_draining(idx, 10 * SEC);
     assert_eq!(picks_of(&mut fleet, idx, 10 * SEC), 0);
@@ -125,8 +125,8 @@
     }
     assert_eq!(picks_of(&mut fleet, idx, SEC), 0);
     let due = 2 * SEC + 1;
-    let once = Pick {
-        is_trial: false,
+    let once = PickArgs {
+        is_canary: false,
         may_probe: false,
         ..at(due)
     };
@@ -167,11 +167,12 @@
     assert!(fleet.pick(&at(SEC), &mut rng()).is_some());
 }
 
-/// Pattern: links to the servers of a pool are cut for some milliseconds each, one after the
-/// other, so that all are ejected while all but one can be reached. Refusals of a connection
-/// cost no time, so nobody is told that there is no server before all were tried.
+/// Guards against refusing callers while a server can be reached: links to the servers of a pool
+/// fail for some milliseconds each, one after the other, so that all are ejected while all but one
+/// are reachable. A refused connection costs no time, so each server is tried before the request is
+/// refused.
 #[test]
-fn a_pool_that_refuses_connections_is_tried_until_one_takes_them() {
+fn refusing_servers_are_all_tried_before_a_request_is_refused() {
     let mut fleet = fleet(3);
     for number in 0..3 {
         let idx = named(&fleet, number);
@@ -180,8 +181,8 @@
         fleet.on_error(sent, now, ErrorKind::Connect);
     }
     let now = 410 * MS;
-    let once = Pick {
-        is_trial: false,
+    let once = PickArgs {
+        is_canary: false,
         may_probe: false,
         ..at(now)
     };
@@ -192,7 +193,7 @@
         assert!(other.is_some(), "not one at a time");
     }
     let tried = [first.idx];
-    let next = Pick {
+    let next = PickArgs {
         exclude: &tried,
         domains: None,
         ..at(now)
@@ -203,7 +204,7 @@
     fleet.on_end(second, now + MS);
     assert!(picks_of(&mut fleet, idx, now + MS) > 0, "it is back");
     let all: Vec<_> = (0..3).map(|number| named(&fleet, number)).collect();
-    let spent = Pick {
+    let spent = PickArgs {
         exclude: &all,
         domains: None,
         ..at(now)
@@ -211,10 +212,11 @@
     assert_eq!(fleet.pick(&spent, &mut rng()), None, "each once a request");
 }
 
-/// Pattern: servers crash while the router can't follow their entries, and other services get
-/// their addresses. Each is asked once, not with a caller's request every second.
+/// Guards against probes at servers that are gone: servers crash while the router is cut off from
+/// the directory, and other services get their addresses. Each is asked once, instead of with a
+/// caller's request every second.
 #[test]
-fn a_server_whose_address_another_one_has_gets_no_probes() {
+fn misdirected_server_gets_no_early_probes() {
     let mut fleet = fleet(4);
     let idx = named(&fleet, 1);
     let sent = fleet.on_sent(idx, 0).expect("configured");
@@ -224,11 +226,11 @@
     }
     let due = 30 * SEC;
     let probe = fleet.send(&at(due), &mut rng()).expect("a probe");
-    assert_eq!(probe.idx, idx, "it may have been told wrongly");
+    assert_eq!(probe.idx, idx, "the misdirection may have been an error");
 }
 
 #[test]
-fn slow_server_gets_little() {
+fn slow_server_gets_no_requests() {
     let mut fleet = fleet(4);
     for round in 0..20 {
         for number in 0..4 {
@@ -242,7 +244,7 @@
 }
 
 #[test]
-fn server_with_a_slow_pace_gets_little() {
+fn server_with_slow_tokens_gets_no_requests() {
     let mut fleet = fleet(4);
     for round in 0..20 {
         for number in 0..4 {
@@ -259,7 +261,7 @@
 }
 
 #[test]
-fn stalled_server_is_left_before_it_answers() {
+fn stalled_server_is_avoided_before_it_answers() {
     let mut fleet = fleet(4);
     for number in 0..4 {
         let idx = named(&fleet, number);
@@ -268,7 +270,7 @@
     let idx = named(&fleet, 0);
     let stalled = fleet.on_sent(idx, SEC).expect("configured");
     assert_eq!(picks_of(&mut fleet, idx, 3 * SEC), 0);
-    fleet.on_unused(stalled, 3 * SEC);
+    fleet.on_abandoned(stalled, 3 * SEC);
     assert!(picks_of(&mut fleet, idx, 3 * SEC) > 0);
 }
 
@@ -276,7 +278,7 @@
 fn known_prefix_stays_on_its_server_until_the_load_is_over_the_bound() {
     let mut fleet = fleet(10);
     let mut rng = rng();
-    let pick = Pick {
+    let pick = PickArgs {
         prefix: 99,
         ..at(SEC)
     };
@@ -308,7 +310,7 @@
     let mut fleet = fleet(10);
     let mut rng = rng();
     for prefix in 1..=100 {
-        let pick = Pick { prefix, ..at(SEC) };
+        let pick = PickArgs { prefix, ..at(SEC) };
         let _sent = fleet.send(&pick, &mut rng).expect("a server");
     }
     let loads: Vec<u32> = fleet.views(SEC).iter().map(|view| view.in_flight).collect();
@@ -371,24 +373,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens, a pick is a configured server that isn't leaving or
-    /// excluded, in-flight counts match what is out, and a server that can take the
-    /// request is found if there is one.
+    /// After any sequence of events, a picked server is configured and neither draining nor
+    /// excluded, in-flight counts match the open dispatches, and a server that can take the request
+    /// is found if there is one.
     #[test]
-    fn picks_are_able_servers(
+    fn picks_are_eligible_servers(
         which in 0..5_usize,
         steps in prop::collection::vec((0..8_u8, 0..12_usize, any::<u64>()), 1..200),
     ) {
         let mut fleet = fleet_of(policy(which), 8);
         let mut rng = rng();
-        let mut out = Vec::new();
+        let mut open = Vec::new();
         let mut drained = specs(8);
-        for (step, (act, number, prefix)) in steps.into_iter().enumerate() {
+        for (step, (action, number, prefix)) in steps.into_iter().enumerate() {
             let now = step as u64 * 100 * MS;
-            match act {
-                0 if !out.is_empty() => fleet.on_end(out.swap_remove(number % out.len()), now),
-                1 if !out.is_empty() => {
-                    fleet.on_error(out.swap_remove(number % out.len()), now, ErrorKind::Status);
+            match action {
+                0 if !open.is_empty() => fleet.on_end(open.swap_remove(number % open.len()), now),
+                1 if !open.is_empty() => {
+                    fleet.on_error(open.swap_remove(number % open.len()), now, ErrorKind::Status);
                 }
                 2 if number < 8 => {
                     drained[number].drain = !drained[number].drain;
@@ -399,24 +401,24 @@
                     fleet.set_config(kept);
                 }
                 _ => {
-                    let name = &drained[number % 8].start.name;
+                    let name = &drained[number % 8].instance.name;
                     let exclude: Vec<_> = fleet.find(name).into_iter().collect();
-                    let pick = Pick { prefix, exclude: &exclude, ..at(now) };
+                    let pick = PickArgs { prefix, exclude: &exclude, ..at(now) };
                     let sent = fleet.send(&pick, &mut rng);
-                    let able = fleet.views(now).iter().any(|view| {
-                        !view.leaving && view.ejected_until.is_none() && !exclude.contains(&view.idx)
+                    let is_any_eligible = fleet.views(now).iter().any(|view| {
+                        !view.draining && view.ejected_until.is_none() && !exclude.contains(&view.idx)
                     });
-                    prop_assert!(sent.is_some() || !able);
+                    prop_assert!(sent.is_some() || !is_any_eligible);
                     if let Some(sent) = sent {
                         let server = fleet.get(sent.idx).expect("configured");
-                        prop_assert!(!server.is_leaving());
+                        prop_assert!(!server.is_draining());
                         prop_assert!(!exclude.contains(&sent.idx));
-                        out.push(sent);
+                        open.push(sent);
                     }
                 }
             }
             for view in fleet.views(now) {
-                let expected = out.iter().filter(|sent| sent.idx == view.idx).count();
+                let expected = open.iter().filter(|sent| sent.idx == view.idx).count();
                 prop_assert_eq!(view.in_flight as usize, expected);
             }
         }
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget holds whatever share of the attempts fails.
+//! The retry budget holds, whatever share of the attempts fails.
 
 use std::time::Duration;
 
@@ -64,16 +64,17 @@
 const SEC: u64 = 1_000_000;
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Pattern: three hundred routers before a pool that loses a quarter of its servers at once. Each
-/// router has five requests a second, and its part of the fleet's burst is one retry.
+/// Guards against refusals after the loss of many servers: 300 routers use a pool that loses a
+/// quarter of its servers at once. Each router has five requests per second, and its part of the
+/// fleet's burst is one retry.
 #[test]
-fn a_router_with_few_requests_has_saved_for_the_loss_of_many_servers() {
+fn router_with_few_requests_saves_retries_for_the_loss_of_many_servers() {
     let budget = RetryBudget::with_window(0.12, 1, WINDOW);
     for at in 0..50 {
         budget.on_request(at * SEC / 5);
     }
-    let lost = 10 * SEC;
-    budget.on_request(lost);
+    let lost_at = 10 * SEC;
+    budget.on_request(lost_at);
     let retries = (0..10).filter(|_| budget.take()).count();
     assert!(retries >= 4, "{retries} in the second of the loss");
     assert!(
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn what_was_saved_ends_with_the_requests() {
+fn saved_retries_expire_without_requests() {
     let budget = RetryBudget::with_window(0.12, 1, WINDOW);
     for at in 0..500 {
         budget.on_request(at * SEC / 50);
@@ -96,8 +97,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In any window there are no more retries than the burst and the share of the requests in it
-    /// and in the one before it, whatever fails when.
+    /// In any window, retries are bounded by the burst and the share of the requests in it and in
+    /// the previous one, whatever fails when.
     #[test]
     fn retries_of_any_window_are_bounded(
         steps in prop::collection::vec((0..400_u64, 0..8_usize), 1..2_000),
@@ -121,7 +122,7 @@
         };
         for end in &retries {
             let from = end.saturating_sub(window);
-            // What a period put in may be kept through the whole one after it.
+            // What a period put in may be kept for the whole next one.
             let fed = count(&requests, from.saturating_sub(window), *end);
             prop_assert!(count(&retries, from, *end) <= 3.0 + 0.12 * fed + 1e-9);
         }
--- a/crates/routing/tests/unmixed.rs
+++ b/crates/routing/tests/unmixed.rs
@@ -1,20 +1,20 @@
-//! Long prompts beside streams whose callers accept short pauses only, on servers of
-//! different speeds.
+//! Long prompts beside streams whose callers accept short gaps only, on servers of different
+//! speeds.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{
-    Fleet, FleetPolicy, Flow, Note, Pick, Policy, Prompt, Rendezvous, Sent, ServerIdx, ServerSpec,
-    Unmixed,
+    Dispatch, Fleet, FleetPolicy, PickArgs, Policy, PrefillIsolation, Prompt, Rendezvous,
+    ServerIdx, ServerSpec, ServerUpdate, StreamGaps,
 };
 use swiftlink_types::{DomainName, ServerName, Start};
 
 const MS: u64 = 1_000;
 const SEC: u64 = 1_000_000;
-/// Longest pause that callers accept.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Longest gap between events that callers accept.
+const MAX_GAP: Duration = Duration::from_millis(300);
 const LONG: Prompt = Prompt {
     own: 3_000,
     shared: 6_000,
@@ -28,22 +28,22 @@
     let settings = FleetPolicy::new(DomainName::from("rennes-a"));
     let mut fleet = Fleet::new(settings, policy);
     let spec = |number| ServerSpec {
-        start: Start::from(name(number)),
+        instance: Start::from(name(number)),
         domain: DomainName::from("rennes-a"),
         vm: None,
         slots: 64,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     let specs: Vec<ServerSpec> = (0..count).map(spec).collect();
     fleet.set_config(&specs);
-    fleet.set_pause(Some(PAUSE));
+    fleet.set_max_gap(Some(MAX_GAP));
     fleet
 }
 
 fn fleet(count: usize) -> Fleet {
-    fleet_of(Box::new(Unmixed::default()), count)
+    fleet_of(Box::new(PrefillIsolation::default()), count)
 }
 
 fn name(number: usize) -> ServerName {
@@ -54,30 +54,30 @@
     fleet.find(&name(number)).expect("configured")
 }
 
-fn pick(prefix: u64, prompt: Prompt, now: u64) -> Pick<'static> {
-    Pick {
+fn pick(prefix: u64, prompt: Prompt, now: u64) -> PickArgs<'static> {
+    PickArgs {
         now,
         prefix,
         prompt,
-        aim: SEC,
-        ..Pick::default()
+        ttft_target: SEC,
+        ..PickArgs::default()
     }
 }
 
-/// Shows a fleet of four that server 0 is slower than the others, and that prompts make
-/// streams pause for `longest` at an ordinary one.
-fn show_speeds(fleet: &mut Fleet, longest: u64) {
+/// Shows a fleet of four that server 0 is slower than the others, and that prefill causes gaps of
+/// `longest` at an ordinary one.
+fn observe_speeds(fleet: &mut Fleet, longest: u64) {
     for _ in 0..40 {
         for number in 0..4 {
             let gap = if number == 0 { 26 * MS } else { 20 * MS };
-            let flow = Flow { gap, longest };
-            fleet.on_flow(idx(fleet, number), flow);
+            let gaps = StreamGaps { gap, longest };
+            fleet.on_gaps(idx(fleet, number), gaps);
         }
     }
 }
 
 /// How many of 200 requests with different prefixes go to server 0. Each ends before the next.
-fn sent_to_first(fleet: &mut Fleet, prompt: Prompt) -> usize {
+fn count_sent_to_first(fleet: &mut Fleet, prompt: Prompt) -> usize {
     let mut rng = Pcg64Mcg::new(7);
     let first = idx(fleet, 0);
     let mut count = 0;
@@ -90,8 +90,8 @@
     count
 }
 
-/// Lets the policy see both lengths in turn, so that it knows their mean.
-fn show_lengths(fleet: &mut Fleet) {
+/// Sends prompts of both lengths, so that the policy learns their mean.
+fn observe_lengths(fleet: &mut Fleet) {
     let mut rng = Pcg64Mcg::new(3);
     for step in 0..400_u64 {
         let prompt = if step % 4 == 0 { LONG } else { SHORT };
@@ -101,56 +101,56 @@
 }
 
 #[test]
-fn long_prompts_stay_away_from_a_server_where_they_stall_streams() {
+fn long_prompts_avoid_a_server_where_they_stall_streams() {
     let mut fleet = fleet(4);
-    show_lengths(&mut fleet);
-    show_speeds(&mut fleet, 280 * MS);
-    assert_eq!(sent_to_first(&mut fleet, LONG), 0);
+    observe_lengths(&mut fleet);
+    observe_speeds(&mut fleet, 280 * MS);
+    assert_eq!(count_sent_to_first(&mut fleet, LONG), 0);
 }
 
 #[test]
-fn short_prompts_go_to_a_server_without_long_ones() {
+fn short_prompts_go_to_an_isolated_server() {
     let mut fleet = fleet(4);
-    show_lengths(&mut fleet);
-    show_speeds(&mut fleet, 280 * MS);
-    // Only short ones are sent here, so half of them are below their own mean in the end.
-    assert!(sent_to_first(&mut fleet, SHORT) > 80);
+    observe_lengths(&mut fleet);
+    observe_speeds(&mut fleet, 280 * MS);
+    // Only short prompts are sent here, so in the end half of them are below their own mean.
+    assert!(count_sent_to_first(&mut fleet, SHORT) > 80);
 }
 
 #[test]
-fn nothing_is_kept_apart_where_pauses_are_short_enough() {
+fn no_server_is_isolated_while_gaps_are_short_enough() {
     let mut fleet = fleet(4);
-    show_lengths(&mut fleet);
-    show_speeds(&mut fleet, 150 * MS);
-    let first = sent_to_first(&mut fleet, LONG);
+    observe_lengths(&mut fleet);
+    observe_speeds(&mut fleet, 150 * MS);
+    let first = count_sent_to_first(&mut fleet, LONG);
     assert!((25..75).contains(&first), "{first} of 200");
 }
 
-/// The pattern: 86 routers before servers of 12 slots, each of which knows of a hundredth of the
-/// requests. Apart, all short prompts would meet at the same few servers.
+/// Guards against short prompts that all meet at few servers: with 86 routers and servers of 12
+/// slots, each router knows of a hundredth of the requests, so isolation is disabled.
 #[test]
-fn routers_that_do_not_hear_of_each_other_keep_nothing_apart() {
+fn routers_without_peer_updates_isolate_no_server() {
     let mut fleet = fleet(4);
-    show_lengths(&mut fleet);
-    show_speeds(&mut fleet, 280 * MS);
-    assert_eq!(fleet.quiet_len(), 1);
-    fleet.set_apart(false);
-    assert_eq!(fleet.quiet_len(), 0);
-    show_speeds(&mut fleet, 280 * MS);
-    assert_eq!(fleet.quiet_len(), 0);
+    observe_lengths(&mut fleet);
+    observe_speeds(&mut fleet, 280 * MS);
+    assert_eq!(fleet.isolated_len(), 1);
+    fleet.set_isolation(false);
+    assert_eq!(fleet.isolated_len(), 0);
+    observe_speeds(&mut fleet, 280 * MS);
+    assert_eq!(fleet.isolated_len(), 0);
 }
 
-/// A server that is slow since it has too much to do must not get all short prompts besides.
+/// A server that is slow because it is busy must not get all short prompts in addition.
 #[test]
-fn a_slow_server_with_much_to_read_gets_no_more() {
+fn isolated_server_with_a_large_backlog_gets_no_more() {
     let mut fleet = fleet(4);
-    show_lengths(&mut fleet);
-    show_speeds(&mut fleet, 280 * MS);
+    observe_lengths(&mut fleet);
+    observe_speeds(&mut fleet, 280 * MS);
     let first = idx(&fleet, 0);
     let mut rng = Pcg64Mcg::new(7);
     let mut at_first = 0;
     for step in 1..=100_u64 {
-        // None of them is read.
+        // None of these prompts is prefilled.
         let pick = pick(rng.next_u64() | 1, SHORT, SEC + step);
         let sent = fleet.send(&pick, &mut rng).expect("a server");
         at_first += usize::from(sent.idx == first);
@@ -159,10 +159,10 @@
 }
 
 #[test]
-fn what_peers_have_a_server_read_counts_until_they_are_silent() {
+fn backlog_of_peers_counts_until_it_expires() {
     let mut fleet = fleet(4);
     let mut rng = Pcg64Mcg::new(1);
-    // A prompt of 9,000 tokens takes 0.27 seconds.
+    // A prompt of 9,000 tokens takes 0.27 seconds to prefill.
     for step in 1..20_u64 {
         let now = step * SEC;
         let mut sent = fleet.send(&pick(step, LONG, now), &mut rng).expect("one");
@@ -171,13 +171,13 @@
     }
     let now = 30 * SEC;
     let home = fleet.pick(&pick(77, LONG, now), &mut rng).expect("one");
-    let note = Note {
-        server: fleet.get(home).expect("known").start().clone(),
-        unread: 60_000,
-        flows: Vec::new(),
+    let update = ServerUpdate {
+        server: fleet.get(home).expect("known").instance().clone(),
+        backlog: 60_000,
+        gaps: Vec::new(),
         prefixes: Vec::new(),
     };
-    fleet.on_note(5, now, &note);
+    fleet.on_peer_update(5, now, &update);
     let other = fleet.pick(&pick(77, LONG, now), &mut rng).expect("one");
     assert_ne!(other, home);
     let later = fleet.pick(&pick(77, LONG, now + 2 * SEC), &mut rng);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_prefix_stays_at_its_home_while_the_wait_there_is_short() {
+fn prefix_stays_at_its_preferred_server_while_the_wait_there_is_short() {
     let mut fleet = fleet(4);
     let mut rng = Pcg64Mcg::new(1);
     let home = fleet.pick(&pick(77, LONG, 0), &mut rng).expect("one");
@@ -199,68 +199,68 @@
 }
 
 #[test]
-fn notes_tell_peers_what_was_sent_and_seen_once() {
+fn updates_report_each_observation_once() {
     let mut one = fleet(4);
     let mut rng = Pcg64Mcg::new(1);
     let sent = one.send(&pick(9, LONG, 0), &mut rng).expect("one");
-    let flow = Flow {
+    let gaps = StreamGaps {
         gap: 20 * MS,
         longest: 100 * MS,
     };
-    one.on_flow(sent.idx, flow);
-    let note = Note {
-        server: one.get(sent.idx).expect("known").start().clone(),
-        unread: 9_000,
-        flows: vec![flow],
+    one.on_gaps(sent.idx, gaps);
+    let update = ServerUpdate {
+        server: one.get(sent.idx).expect("known").instance().clone(),
+        backlog: 9_000,
+        gaps: vec![gaps],
         prefixes: vec![9],
     };
-    assert_eq!(one.take_notes(), vec![note]);
-    assert_eq!(one.take_notes(), Vec::new());
+    assert_eq!(one.take_updates(), vec![update]);
+    assert_eq!(one.take_updates(), Vec::new());
     one.on_end(sent, SEC);
-    let notes = one.take_notes();
-    assert_eq!(notes.len(), 1);
-    assert_eq!(notes[0].unread, 0);
+    let updates = one.take_updates();
+    assert_eq!(updates.len(), 1);
+    assert_eq!(updates[0].backlog, 0);
 }
 
-/// Tokens that a server reads in one step at most.
+/// Largest number of prompt tokens in one step of the engine.
 const CHUNK: u64 = 2_048;
-/// Time to read a token (µs), and of a step without reading.
-const READ: u64 = 43;
+/// Prefill time per token (µs), and time of a step without prefill.
+const PREFILL_TIME: u64 = 43;
 const STEP: u64 = 6 * MS;
-/// Tokens of an event.
-const STRIDE: u32 = 3;
+/// Tokens per event.
+const EVENT_TOKENS: u32 = 3;
 
-/// A stream at an engine.
+/// A stream that an engine runs.
 struct Stream {
-    sent: Option<Sent>,
-    unread: u64,
+    sent: Option<Dispatch>,
+    prefill: u64,
     events: u32,
     tokens: u32,
     last: Option<u64>,
     gaps: Vec<u64>,
 }
 
-/// An engine that reads prompts in chunks between the tokens of its streams.
+/// An engine with chunked prefill: it prefills prompts in chunks between the tokens of its streams.
 struct Engine {
-    /// Tenths of the usual time that a step takes.
+    /// Duration of a step, in tenths of the usual one.
     tenths: u64,
     next: u64,
     streams: Vec<Stream>,
 }
 
 impl Engine {
-    /// One step, until `next`; gives the streams that ended.
+    /// Runs one step, until `next`; returns the streams that ended.
     fn step(&mut self, fleet: &mut Fleet) -> Vec<Stream> {
         let mut chunk = 0;
         for stream in &mut self.streams {
-            let read = stream.unread.min(CHUNK - chunk);
-            stream.unread -= read;
+            let read = stream.prefill.min(CHUNK - chunk);
+            stream.prefill -= read;
             chunk += read;
         }
-        self.next += (STEP + chunk * READ) * self.tenths / 10;
-        for stream in self.streams.iter_mut().filter(|stream| stream.unread == 0) {
+        self.next += (STEP + chunk * PREFILL_TIME) * self.tenths / 10;
+        for stream in self.streams.iter_mut().filter(|stream| stream.prefill == 0) {
             stream.tokens += 1;
-            if stream.tokens % STRIDE != 0 {
+            if stream.tokens % EVENT_TOKENS != 0 {
                 continue;
             }
             stream.events -= 1;
@@ -280,9 +280,10 @@
     }
 }
 
-/// Twenty seconds of four letters for each job with a long prompt, on eight servers of which
-/// two are slow. Gives the parts of letters and of jobs that paused for too long.
-fn paused(policy: Box<dyn Policy>) -> (f64, f64) {
+/// Twenty seconds of load on eight servers, of which two are slow, with four requests with a short
+/// prompt for each one with a long prompt. Returns the fractions of short and of long ones whose
+/// gaps exceeded the limit.
+fn simulate_late_shares(policy: Box<dyn Policy>) -> (f64, f64) {
     const SERVERS: usize = 8;
     let mut fleet = fleet_of(policy, SERVERS);
     let mut rng = Pcg64Mcg::seed_from_u64(11);
@@ -305,7 +306,7 @@
             .position(|slot| *slot == sent.idx)
             .expect("one");
         engines[engine].streams.push(Stream {
-            unread: prompt.own + prompt.shared * u64::from(rng.random_bool(0.3)),
+            prefill: prompt.own + prompt.shared * u64::from(rng.random_bool(0.3)),
             events: if is_long { 18 } else { 95 },
             tokens: 0,
             last: None,
@@ -319,11 +320,11 @@
                     stream.gaps.sort_unstable();
                     let longest = *stream.gaps.last().expect("some");
                     let gap = stream.gaps[stream.gaps.len() / 8];
-                    fleet.on_flow(sent.idx, Flow { gap, longest });
+                    fleet.on_gaps(sent.idx, StreamGaps { gap, longest });
                     fleet.on_end(sent, now);
                     let count = &mut counts[usize::from(stream.tokens < 100)];
                     count.0 += 1;
-                    count.1 += usize::from(longest > PAUSE.as_micros() as u64);
+                    count.1 += usize::from(longest > MAX_GAP.as_micros() as u64);
                 }
             }
         }
@@ -332,56 +333,56 @@
     (part(counts[0]), part(counts[1]))
 }
 
-/// The pattern: letters with 95 events, jobs with prompts ten times as long, and a third of
-/// the jobs' shared parts not cached.
+/// Short prompts with 95 events, long ones with ten times the tokens, and a shared part that isn't
+/// cached in 30 % of the requests.
 #[test]
-fn fewer_streams_pause_for_too_long_than_by_prefix_alone() {
-    let (letters, jobs) = paused(Box::new(Unmixed::default()));
-    let (plain, plain_jobs) = paused(Box::new(Rendezvous::default()));
-    assert!(letters < plain * 0.7, "{letters} {plain}");
-    assert!(jobs <= plain_jobs, "{jobs} {plain_jobs}");
+fn fewer_streams_stall_than_with_rendezvous_alone() {
+    let (short, long) = simulate_late_shares(Box::new(PrefillIsolation::default()));
+    let (rendezvous_short, rendezvous_long) = simulate_late_shares(Box::new(Rendezvous::default()));
+    assert!(short < rendezvous_short * 0.7, "{short} {rendezvous_short}");
+    assert!(long <= rendezvous_long, "{long} {rendezvous_long}");
 }
 
-/// What peers tell of a server crosses its next start: notes of the one before change nothing,
-/// and its prompts count as not read.
+/// Updates of a peer may cross a server's restart: those about another instance are ignored, and
+/// the prefixes of the previous instance don't count as cached.
 #[test]
-fn notes_of_another_start_change_nothing() {
+fn updates_of_another_instance_are_ignored() {
     let specs = |born| {
-        let start = Start::new(name(0), born);
+        let instance = Start::new(name(0), born);
         [ServerSpec {
-            start,
+            instance,
             domain: DomainName::from("rennes-a"),
             vm: None,
             slots: 64,
             drain: false,
-            is_trial: false,
+            is_canary: false,
             cold_until: 0,
         }]
     };
     let mut fleet = fleet(1);
     fleet.set_config(&specs(5));
     let mut rng = Pcg64Mcg::new(1);
-    let unread = |fleet: &mut Fleet, rng: &mut Pcg64Mcg, now| {
+    let send_for_backlog = |fleet: &mut Fleet, rng: &mut Pcg64Mcg, now| {
         let mut sent = fleet.send(&pick(9, LONG, now), rng).expect("one");
-        let notes = fleet.take_notes();
+        let updates = fleet.take_updates();
         fleet.on_first_token(&mut sent, now + 100 * MS);
         fleet.on_end(sent, now + 200 * MS);
-        notes[0].unread
+        updates[0].backlog
     };
-    let all = unread(&mut fleet, &mut rng, 0);
-    let known = unread(&mut fleet, &mut rng, SEC);
+    let all = send_for_backlog(&mut fleet, &mut rng, 0);
+    let known = send_for_backlog(&mut fleet, &mut rng, SEC);
     assert!(known < all, "{known} of {all}");
     fleet.set_config(&specs(6));
-    let note = |born| Note {
+    let update = |born| ServerUpdate {
         server: Start::new(name(0), born),
-        unread: 0,
-        flows: Vec::new(),
+        backlog: 0,
+        gaps: Vec::new(),
         prefixes: vec![9],
     };
-    fleet.on_note(1, 2 * SEC, &note(5));
-    fleet.on_note(1, 2 * SEC, &note(7));
-    assert_eq!(unread(&mut fleet, &mut rng, 3 * SEC), all);
+    fleet.on_peer_update(1, 2 * SEC, &update(5));
+    fleet.on_peer_update(1, 2 * SEC, &update(7));
+    assert_eq!(send_for_backlog(&mut fleet, &mut rng, 3 * SEC), all);
     fleet.set_config(&specs(8));
-    fleet.on_note(1, 4 * SEC, &note(8));
-    assert_eq!(unread(&mut fleet, &mut rng, 5 * SEC), known);
+    fleet.on_peer_update(1, 4 * SEC, &update(8));
+    assert_eq!(send_for_backlog(&mut fleet, &mut rng, 5 * SEC), known);
 }
--- a/crates/routing/tests/window.rs
+++ b/crates/routing/tests/window.rs
@@ -1,14 +1,14 @@
-//! Very large pools: what a router uses of them.
+//! Working sets of very large pools.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use swiftlink_routing::{Fleet, FleetPolicy, LoadReport, Pick, ServerSpec, Unmixed};
+use swiftlink_routing::{Fleet, FleetPolicy, LoadReport, PickArgs, PrefillIsolation, ServerSpec};
 use swiftlink_types::{DomainName, ServerName, Start};
 
-/// Servers of the whole fleet's model pool.
+/// Servers in the model pool of the largest fleet.
 const SERVERS: usize = 9_600;
 const DOMAINS: usize = 6;
 
@@ -18,12 +18,12 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number: usize| ServerSpec {
-        start: Start::from(ServerName::from(format!("s{number}"))),
+        instance: Start::from(ServerName::from(format!("s{number}"))),
         domain: domain(number % DOMAINS),
         vm: None,
         slots: 32,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     (0..count).map(spec).collect()
@@ -32,23 +32,24 @@
 fn fleet(router: u64, home: usize, count: usize) -> Fleet {
     let mut policy = FleetPolicy::new(domain(home));
     policy.seed = router;
-    let mut fleet = Fleet::new(policy, Box::new(Unmixed::default()));
+    let mut fleet = Fleet::new(policy, Box::new(PrefillIsolation::default()));
     fleet.set_config(&specs(count));
     fleet
 }
 
-fn pick(prefix: u64, now: u64) -> Pick<'static> {
-    Pick {
+fn pick(prefix: u64, now: u64) -> PickArgs<'static> {
+    PickArgs {
         now,
         prefix,
         may_probe: true,
-        ..Pick::default()
+        ..PickArgs::default()
     }
 }
 
-/// Each router sent to any of ten thousand servers, so prompts met nobody who had read what they share.
+/// Guards against cache misses from spreading too wide: when each router sent to any of ten
+/// thousand servers, prompts rarely reached one with their shared part cached.
 #[test]
-fn routers_of_a_domain_share_few_servers_of_a_very_large_pool() {
+fn routers_of_a_domain_share_a_small_working_set() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut used: HashMap<usize, HashSet<ServerName>> = HashMap::new();
     for router in 0..60 {
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn more_servers_are_used_where_these_have_much_to_do() {
+fn busy_working_set_grows() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = fleet(1, 0, SERVERS);
     assert_eq!(fleet.open_len(), 64);
@@ -91,9 +92,9 @@
     assert!(fleet.open_len() >= 1_000, "{}", fleet.open_len());
 }
 
-/// A domain whose servers all leave is no reason to refuse: the others' are used.
+/// When all servers of the router's own domain drain, those of other domains are used instead.
 #[test]
-fn servers_of_other_domains_take_the_place_of_those_that_leave() {
+fn servers_of_other_domains_replace_draining_ones() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = fleet(1, 0, SERVERS);
     let mut specs = specs(SERVERS);
@@ -106,21 +107,21 @@
 }
 
 #[test]
-fn a_pool_of_some_hundreds_is_used_whole() {
+fn pool_of_some_hundreds_is_used_whole() {
     assert_eq!(fleet(1, 0, 256).open_len(), 256);
 }
 
-/// A server's place was sought anew among all for each one that was added: a list of ten thousand took
-/// a second of a core.
+/// Guards against a quadratic search for free indices: searching all of them for each added server
+/// took a second of CPU time for a list of ten thousand.
 #[test]
-fn a_server_that_goes_leaves_its_place_to_the_next_new_one() {
+fn index_of_a_removed_server_is_reused() {
     let mut fleet = fleet(1, 0, 200);
     let mut specs = specs(210);
-    let idx = fleet.find(&specs[7].start.name).expect("a server");
+    let idx = fleet.find(&specs[7].instance.name).expect("a server");
     specs.remove(7);
     specs.truncate(200);
     fleet.set_config(&specs);
-    let new = fleet.find(&specs[199].start.name).expect("a server");
-    assert_eq!(new.slot(), idx.slot());
-    assert!(fleet.get(idx).is_none(), "of another start");
+    let new = fleet.find(&specs[199].instance.name).expect("a server");
+    assert_eq!(new.index(), idx.index());
+    assert!(fleet.get(idx).is_none(), "its generation differs");
 }
