--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -9,7 +9,7 @@
     ClassSpec, DemandSizer, Entry, Grant, Queue, QueuePolicy, SizerPolicy, Sizing, Waiting,
 };
 use swiftlink_routing::{
-    ExpectedWait, Fleet, FleetPolicy, LoadReport, Pick, Policy, ServerSpec, TwoChoices,
+    ExpectedWait, Fleet, FleetPolicy, LoadReport, PickArgs, Policy, ServerSpec, TwoChoices,
 };
 use swiftlink_types::{
     BudgetName, ClassName, DomainName, Micros, ServerName, Start, WorkspaceName,
@@ -152,12 +152,12 @@
     settings.seed = seed;
     let specs: Vec<ServerSpec> = (0..RUNNERS)
         .map(|index| ServerSpec {
-            start: Start::from(ServerName::from(format!("runner-{index}"))),
+            instance: Start::from(ServerName::from(format!("runner-{index}"))),
             domain: domain(index),
             vm: None,
             slots: 16,
             drain: false,
-            is_trial: false,
+            is_canary: false,
             cold_until: 0,
         })
         .collect();
@@ -175,14 +175,14 @@
     let mut now = 2_000;
     cost(calls, || {
         now += 250;
-        let pick = Pick {
+        let pick = PickArgs {
             now,
             prefix: 1 + below(&mut rng, 200),
-            is_trial: false,
+            is_canary: false,
             may_probe: true,
-            ..Pick::default()
+            ..PickArgs::default()
         };
         let sent = fleet.send(&pick, &mut rng).expect("all are able");
-        fleet.on_unused(sent, now);
+        fleet.on_abandoned(sent, now);
     })
 }
--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/world.rs
@@ -2,7 +2,7 @@
 
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{
-    ErrorKind, Fleet, FleetPolicy, Pick, RetryBudget, Sent, ServerIdx, ServerSpec,
+    Dispatch, ErrorKind, Fleet, FleetPolicy, PickArgs, RetryBudget, ServerIdx, ServerSpec,
 };
 use swiftlink_types::{DomainName, Micros, ServerName, Start};
 
@@ -53,7 +53,7 @@
     attempts: u32,
     tried: Vec<ServerIdx>,
     runner: usize,
-    sent: Option<Sent>,
+    sent: Option<Dispatch>,
     is_warm: bool,
 }
 
@@ -170,14 +170,14 @@
         let counts = self.counts(number);
         let request = &mut self.requests[number];
         let router = &mut self.routers[request.router];
-        let pick = Pick {
+        let pick = PickArgs {
             now,
             prefix: request.prefix,
             exclude: &request.tried,
             domains: None,
-            is_trial: false,
+            is_canary: false,
             may_probe: true,
-            ..Pick::default()
+            ..PickArgs::default()
         };
         let Some(sent) = router.fleet.send(&pick, &mut self.chance) else {
             if counts {
@@ -293,7 +293,7 @@
     settings.health = choice.health();
     let mut fleet = Fleet::new(settings, choice.policy());
     fleet.set_config(specs);
-    let number = |name: &ServerName| specs.iter().position(|spec| spec.start.name == *name);
+    let number = |name: &ServerName| specs.iter().position(|spec| spec.instance.name == *name);
     let members = fleet.members().into_iter();
     let members = members.map(|(idx, name)| (idx, number(&name).expect("it is configured")));
     Router {
@@ -305,12 +305,12 @@
 
 fn spec(index: usize) -> ServerSpec {
     ServerSpec {
-        start: Start::from(ServerName::from(format!("runner-{index}"))),
+        instance: Start::from(ServerName::from(format!("runner-{index}"))),
         domain: domain(index),
         vm: None,
         slots: SLOTS as u32,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     }
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -15,7 +15,8 @@
 use arc_swap::ArcSwap;
 use swiftlink_rollout::Part;
 use swiftlink_routing::{
-    Fleet, FleetPolicy, LoadReport, Note, Pick, Prompt, RetryBudget, ServerIdx, ServerSpec, Unmixed,
+    Fleet, FleetPolicy, LoadReport, PickArgs, PrefillIsolation, Prompt, RetryBudget, ServerIdx,
+    ServerSpec, ServerUpdate,
 };
 use swiftlink_telemetry::event;
 use swiftlink_types::{DomainName, Micros, PoolName, ServerName, Start, VersionName};
@@ -111,10 +112,10 @@
         let mut policy = FleetPolicy::new(settings.domain.clone());
         policy.seed = xxh3_64(settings.vm.as_str().as_bytes());
         let share = settings.retries.ratio * RETRY_PART;
-        let mut fleet = Fleet::new(policy, Box::new(Unmixed::default()));
-        fleet.set_pause(spec.pause);
+        let mut fleet = Fleet::new(policy, Box::new(PrefillIsolation::default()));
+        fleet.set_max_gap(spec.pause);
         fleet.set_warmup(spec.warmup);
-        fleet.set_emptied(&shared.domains.emptied(), 0);
+        fleet.set_drained_domains(&shared.domains.emptied(), 0);
         fleet.set_routers(shared.routers.load(Relaxed));
         Self {
             name: spec.name.clone(),
@@ -140,22 +141,22 @@
     }
 
     /// What peers should know and were not told yet.
-    pub(crate) fn take_notes(&self) -> Vec<Note> {
-        self.fleet().take_notes()
+    pub(crate) fn take_notes(&self) -> Vec<ServerUpdate> {
+        self.fleet().take_updates()
     }
 
     /// Takes what a peer tells of a server.
-    pub(crate) fn on_note(&self, peer: u64, note: &Note) {
+    pub(crate) fn on_note(&self, peer: u64, note: &ServerUpdate) {
         let now = self.now();
-        self.with_speeds(|fleet| fleet.on_note(peer, now, note));
+        self.with_speeds(|fleet| fleet.on_peer_update(peer, now, note));
     }
 
     /// Changes the fleet, and logs when long prompts are kept away from other servers then.
     fn with_speeds(&self, change: impl FnOnce(&mut Fleet)) {
         let mut fleet = self.fleet();
-        let before = fleet.quiet_len();
+        let before = fleet.isolated_len();
         change(&mut fleet);
-        let after = fleet.quiet_len();
+        let after = fleet.isolated_len();
         let stall = fleet.stall();
         drop(fleet);
         if before != after {
@@ -181,25 +182,25 @@
     #[must_use]
     pub fn send(self: &Arc<Self>, wish: &Wish<'_>) -> Option<(Chosen, Ticket)> {
         let now = self.now();
-        let is_trial = wish.may_try && self.lane.is_trial(rand::random());
-        let mut pick = Pick {
+        let is_canary = wish.may_try && self.lane.is_canary(rand::random());
+        let mut pick = PickArgs {
             now,
-            is_trial,
+            is_canary,
             prefix: wish.prefix,
             prompt: wish.prompt,
-            aim: wish.aim.as_micros() as Micros,
+            ttft_target: wish.aim.as_micros() as Micros,
             exclude: wish.exclude,
             domains: wish.domains,
             may_probe: true,
         };
         let mut fleet = self.fleet();
         let mut sent = fleet.send(&pick, &mut rand::rng());
-        if sent.is_none() && is_trial {
-            pick.is_trial = false;
+        if sent.is_none() && is_canary {
+            pick.is_canary = false;
             sent = fleet.send(&pick, &mut rand::rng());
         }
         let sent = sent?;
-        let start = fleet.get(sent.idx)?.start().clone();
+        let start = fleet.get(sent.idx)?.instance().clone();
         let place = self.places.load().get(&start.name).cloned();
         drop(fleet);
         self.changed.notify_one();
@@ -252,7 +253,7 @@
 
     fn set_spec(&self, spec: Arc<PoolSpec>) {
         let mut fleet = self.fleet();
-        fleet.set_pause(spec.pause);
+        fleet.set_max_gap(spec.pause);
         fleet.set_warmup(spec.warmup);
         drop(fleet);
         self.spec.store(spec);
@@ -279,9 +280,9 @@
             return None;
         }
         let now = self.now();
-        let waits = [fleet.warm_in(now), fleet.rest_left(now)];
+        let waits = [fleet.warm_in(now), fleet.backoff_left(now)];
         let first = waits.into_iter().flatten().min();
-        first.or_else(|| fleet.has_emptied().then_some(EMPTIED_WAIT))
+        first.or_else(|| fleet.has_drained_domain().then_some(EMPTIED_WAIT))
     }
 
     /// A server's answer says how much longer it is cold.
@@ -296,7 +297,7 @@
             return;
         }
         event!(info, "server.leaving", server = server.start.name);
-        self.fleet().on_leaving(idx);
+        self.fleet().mark_drained(idx);
     }
 
     /// A server's answer asks for so long a rest.
@@ -309,12 +310,12 @@
         }
         let now = self.now();
         let until = now.saturating_add(time.as_micros() as Micros);
-        self.fleet().on_rest(idx, now, until);
+        self.fleet().on_backoff(idx, now, until);
     }
 
     fn set_emptied(&self, emptied: &HashSet<DomainName>) {
         let now = self.now();
-        self.fleet().set_emptied(emptied, now);
+        self.fleet().set_drained_domains(emptied, now);
     }
 
     /// A server's report of its load.
@@ -331,12 +332,12 @@
         for (entry, part) in entries.iter().zip(parts) {
             let word = self.words.of(&entry.start);
             specs.push(ServerSpec {
-                start: entry.start.clone(),
+                instance: entry.start.clone(),
                 domain: entry.domain.clone(),
                 vm: None,
                 slots: entry.slots,
                 drain: entry.draining || word.is_leaving() || part == Part::Held,
-                is_trial: part == Part::Trial,
+                is_canary: part == Part::Trial,
                 cold_until: cold_until(now, entry.warmup),
             });
             let place = Place {
@@ -375,7 +376,7 @@
             continue;
         }
         if let Some(idx) = fleet.find(name) {
-            fleet.on_rest(idx, now, now + left.as_micros() as Micros);
+            fleet.on_backoff(idx, now, now + left.as_micros() as Micros);
         }
     }
 }
--- a/crates/gateway/src/fleet/pools.rs
+++ b/crates/gateway/src/fleet/pools.rs
@@ -114,7 +114,7 @@
         for pool in self.pools.load().values() {
             pool.retries.set_burst(burst);
             let mut fleet = pool.fleet();
-            fleet.set_apart(routers <= notes::TOLD + 1);
+            fleet.set_isolation(routers <= notes::TOLD + 1);
             fleet.set_routers(routers);
         }
     }
--- a/crates/gateway/src/fleet/ticket.rs
+++ b/crates/gateway/src/fleet/ticket.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use swiftlink_routing::{ErrorKind, Flow, Sent, ServerIdx};
+use swiftlink_routing::{Dispatch, ErrorKind, ServerIdx, StreamGaps};
 use swiftlink_types::Micros;
 
 use super::Pool;
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Ticket {
     pub(super) pool: Arc<Pool>,
-    pub(super) sent: Option<Sent>,
+    pub(super) sent: Option<Dispatch>,
     /// The server.
     pub idx: ServerIdx,
     /// What its answer is counted with while a roll-out runs.
@@ -36,8 +36,8 @@
     }
 
     /// How the events of the answer followed each other.
-    pub fn flow(&self, flow: Flow) {
-        self.pool.with_speeds(|fleet| fleet.on_flow(self.idx, flow));
+    pub fn flow(&self, flow: StreamGaps) {
+        self.pool.with_speeds(|fleet| fleet.on_gaps(self.idx, flow));
     }
 
     /// The events of the answer followed each other with such pauses in the mean.
@@ -84,7 +84,7 @@
     fn drop(&mut self) {
         let now = self.pool.now();
         if let Some(sent) = self.sent.take() {
-            self.pool.fleet().on_unused(sent, now);
+            self.pool.fleet().on_abandoned(sent, now);
         }
     }
 }
--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use swiftlink_link::LinkError;
-use swiftlink_routing::{Flow, Note};
+use swiftlink_routing::{ServerUpdate, StreamGaps};
 use swiftlink_telemetry::event;
 use swiftlink_types::{PoolName, ServerName, Start, VmName};
 use swiftlink_wire::link::{Flow as FlowMessage, Notes, ServerNote, reply, request};
@@ -74,8 +74,8 @@
     all
 }
 
-fn message(pool: &PoolName, note: Note) -> ServerNote {
-    let flows = note.flows.iter().map(|flow| FlowMessage {
+fn message(pool: &PoolName, note: ServerUpdate) -> ServerNote {
+    let flows = note.gaps.iter().map(|flow| FlowMessage {
         gap: flow.gap,
         longest: flow.longest,
     });
@@ -83,7 +83,7 @@
         pool: pool.to_string(),
         server: note.server.name.to_string(),
         born: note.server.born,
-        unread: note.unread,
+        unread: note.backlog,
         flows: flows.collect(),
         prefixes: note.prefixes,
     }
@@ -97,14 +97,14 @@
         let Some(pool) = pools.get(&PoolName::from(note.pool.as_str())) else {
             continue;
         };
-        let flows = note.flows.iter().map(|flow| Flow {
+        let flows = note.flows.iter().map(|flow| StreamGaps {
             gap: flow.gap,
             longest: flow.longest,
         });
-        let note = Note {
+        let note = ServerUpdate {
             server: Start::new(ServerName::from(note.server.as_str()), note.born),
-            unread: note.unread,
-            flows: flows.collect(),
+            backlog: note.unread,
+            gaps: flows.collect(),
             prefixes: note.prefixes,
         };
         pool.on_note(peer, &note);
--- a/crates/gateway/src/rollout/lane.rs
+++ b/crates/gateway/src/rollout/lane.rs
@@ -113,7 +113,7 @@
 
     /// Whether a request is one of the trial's; `draw` is drawn evenly from 0 up to 1.
     #[must_use]
-    pub fn is_trial(&self, draw: f64) -> bool {
+    pub fn is_canary(&self, draw: f64) -> bool {
         let Some(terms) = &self.terms else {
             return false;
         };
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use swiftlink_routing::{ErrorKind, Flow};
+use swiftlink_routing::{ErrorKind, StreamGaps};
 use swiftlink_shell::web::{Body, Response};
 use swiftlink_telemetry::event;
 use swiftlink_types::Micros;
@@ -85,14 +85,14 @@
     }
 
     /// What the last ones say of the server, once they are enough.
-    fn flow(&mut self) -> Option<Flow> {
+    fn flow(&mut self) -> Option<StreamGaps> {
         if self.fresh.len() < self.due.max(FIRST_PAUSES) {
             return None;
         }
         let longest = self.fresh.iter().max().copied().unwrap_or_default();
         let quick = self.fresh.len() / 8;
         let (_, gap, _) = self.fresh.select_nth_unstable(quick);
-        let flow = Flow {
+        let flow = StreamGaps {
             gap: gap.as_micros() as Micros,
             longest: longest.as_micros() as Micros,
         };
--- a/crates/router/src/dump.rs
+++ b/crates/router/src/dump.rs
@@ -134,7 +134,7 @@
         servers.push(json!({
             "name": view.name.as_str(),
             "domain": view.domain.as_str(),
-            "leaving": view.leaving,
+            "leaving": view.draining,
             "member": view.member,
             "in_flight": view.in_flight,
             "reported": view.reported,
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -10,8 +10,8 @@
 use papaya::HashMap;
 use swiftlink_resource::{Config, PoolKind, PoolServer};
 use swiftlink_routing::{
-    ErrorKind, ExpectedWait, Fleet, FleetPolicy, ListedVm, LoadReport, Pick, RetryBudget, Sent,
-    ServerIdx, ServerSpec, ServerView,
+    Dispatch, ErrorKind, ExpectedWait, Fleet, FleetPolicy, ListedVm, LoadReport, PickArgs,
+    RetryBudget, ServerIdx, ServerSpec, ServerView,
 };
 use swiftlink_types::{DomainName, Micros, PoolName, ServerName, Start};
 use tokio::time::Instant;
@@ -49,7 +49,7 @@
     /// Names it to the pool.
     pub idx: ServerIdx,
     pool: Arc<Pool>,
-    sent: Option<Sent>,
+    sent: Option<Dispatch>,
 }
 
 impl Pool {
@@ -84,13 +84,13 @@
         tried: &[ServerIdx],
         may_probe: bool,
     ) -> Option<Target> {
-        let pick = Pick {
+        let pick = PickArgs {
             now: self.now(),
             prefix,
             exclude: tried,
             domains: None,
             may_probe,
-            ..Pick::default()
+            ..PickArgs::default()
         };
         let mut fleet = self.lock();
         let sent = fleet.send(&pick, &mut rand::rng())?;
@@ -107,7 +107,7 @@
             sent: Some(sent),
         };
         if address.is_none() {
-            target.end(Fleet::on_unused);
+            target.end(Fleet::on_abandoned);
             return None;
         }
         Some(target)
@@ -154,7 +154,7 @@
 
     /// Takes the VM list.
     pub fn on_listed(&self, list: &[ListedVm]) {
-        self.change(|fleet, _now| fleet.set_listed(list));
+        self.change(|fleet, _now| fleet.set_vm_list(list));
     }
 
     /// What is known of the servers.
@@ -170,12 +170,12 @@
             let spec = &server.spec;
             addresses.insert(server.name.clone(), spec.address);
             specs.push(ServerSpec {
-                start: Start::from(server.name.clone()),
+                instance: Start::from(server.name.clone()),
                 domain: spec.domain.clone(),
                 vm: spec.vm.clone(),
                 slots: spec.slots,
                 drain: spec.drain,
-                is_trial: false,
+                is_canary: false,
                 cold_until: 0,
             });
         }
@@ -233,11 +233,11 @@
     /// The server refused the request because it is leaving.
     pub fn draining(mut self) {
         let idx = self.idx;
-        self.end(Fleet::on_unused);
+        self.end(Fleet::on_abandoned);
         self.pool.change(|fleet, now| fleet.on_draining(idx, now));
     }
 
-    fn end(&mut self, how: impl FnOnce(&mut Fleet, Sent, Micros)) {
+    fn end(&mut self, how: impl FnOnce(&mut Fleet, Dispatch, Micros)) {
         if let Some(sent) = self.sent.take() {
             how(&mut self.pool.lock(), sent, self.pool.now());
         }
@@ -246,7 +246,7 @@
 
 impl Drop for Target {
     fn drop(&mut self) {
-        self.end(Fleet::on_unused);
+        self.end(Fleet::on_abandoned);
     }
 }
 
