--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use swiftlink_routing::{ErrorKind, Flow};
+use swiftlink_routing::{ErrorKind, StreamGaps};
 use swiftlink_shell::web::{Body, Response};
 use swiftlink_telemetry::event;
 use swiftlink_types::Micros;
@@ -86,20 +86,20 @@
     }
 
     /// Samples the server's speed once there are enough gaps.
-    fn sample(&mut self) -> Option<Flow> {
+    fn sample(&mut self) -> Option<StreamGaps> {
         if self.unsampled.len() < self.sample_size.max(FIRST_SAMPLE) {
             return None;
         }
         let longest = self.unsampled.iter().max().copied().unwrap_or_default();
         let index = self.unsampled.len() / 8;
         let (_, gap, _) = self.unsampled.select_nth_unstable(index);
-        let flow = Flow {
+        let sample = StreamGaps {
             gap: gap.as_micros() as Micros,
             longest: longest.as_micros() as Micros,
         };
         self.unsampled.clear();
         self.sample_size = LATER_SAMPLE;
-        Some(flow)
+        Some(sample)
     }
 
     /// Discards the gaps of the last server: another one resumes the stream.
@@ -216,8 +216,8 @@
                 if gaps.on_event(exchange.start, Instant::now()) {
                     exchange.node.metrics.first_event(exchange.start.elapsed());
                 }
-                if let Some(flow) = gaps.sample() {
-                    response.ticket.flow(flow);
+                if let Some(sample) = gaps.sample() {
+                    response.ticket.flow(sample);
                 }
                 if let Some(reservation) = &mut exchange.reservation {
                     reservation.deliver(splitter.events() * max_event_tokens);
--- a/crates/gateway/src/server_updates.rs
+++ b/crates/gateway/src/server_updates.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use swiftlink_link::LinkError;
-use swiftlink_routing::{Flow, Note};
+use swiftlink_routing::{ServerUpdate, StreamGaps};
 use swiftlink_telemetry::event;
 use swiftlink_types::{PoolName, ServerName, Start, VmName};
 use swiftlink_wire::link::{Flow as FlowMessage, Notes, ServerNote, reply, request};
@@ -80,17 +80,17 @@
     all
 }
 
-fn message(pool: &PoolName, update: Note) -> ServerNote {
-    let flows = update.flows.iter().map(|flow| FlowMessage {
-        gap: flow.gap,
-        longest: flow.longest,
+fn message(pool: &PoolName, update: ServerUpdate) -> ServerNote {
+    let gaps = update.gaps.iter().map(|stream| FlowMessage {
+        gap: stream.gap,
+        longest: stream.longest,
     });
     ServerNote {
         pool: pool.to_string(),
         server: update.server.name.to_string(),
         born: update.server.born,
-        unread: update.unread,
-        flows: flows.collect(),
+        unread: update.backlog,
+        flows: gaps.collect(),
         prefixes: update.prefixes,
     }
 }
@@ -103,14 +103,14 @@
         let Some(pool) = pools.get(&PoolName::from(message.pool.as_str())) else {
             continue;
         };
-        let flows = message.flows.iter().map(|flow| Flow {
-            gap: flow.gap,
-            longest: flow.longest,
+        let gaps = message.flows.iter().map(|stream| StreamGaps {
+            gap: stream.gap,
+            longest: stream.longest,
         });
-        let update = Note {
+        let update = ServerUpdate {
             server: Start::new(ServerName::from(message.server.as_str()), message.born),
-            unread: message.unread,
-            flows: flows.collect(),
+            backlog: message.unread,
+            gaps: gaps.collect(),
             prefixes: message.prefixes,
         };
         pool.on_note(peer, &update);
