--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The backend servers of each pool, as this router knows them.
+//! The backend servers of each pool, as known to this router.
 //!
-//! [`Pools`] follows the configuration and the directory; [`Pool::send`] chooses a server
-//! and gives a [`Ticket`], which tells the pool's [`Fleet`] how the request ended.
+//! [`Pools`] applies the configuration and the server directory. [`Pool::send`] selects a server
+//! and returns a [`Ticket`], which reports the outcome of the request to the pool's [`Fleet`].
 
 mod pools;
 mod ticket;
@@ -13,19 +13,19 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use swiftlink_rollout::Part;
+use swiftlink_rollout::Assignment;
 use swiftlink_routing::{
     Fleet, FleetPolicy, LoadReport, Note, Pick, Prompt, RetryBudget, ServerIdx, ServerSpec, Unmixed,
 };
 use swiftlink_telemetry::event;
-use swiftlink_types::{DomainName, Micros, PoolName, ServerName, Start, VersionName};
+use swiftlink_types::{DomainName, Micros, PoolName, ServerInstance, ServerName, VersionName};
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::catalog::ServerEntry;
 use crate::domains::Domains;
 use crate::model::PoolSpec;
-use crate::rollout::{Lane, Mark};
+use crate::rollout::{PoolRollout, ResponseKey};
 use crate::settings::RouterSettings;
 use crate::standing::{Standing, Words};
 
@@ -33,86 +33,86 @@
 use pools::Shared;
 pub use ticket::Ticket;
 
-/// Part of the fleet-wide retries that routers use in all: each counts by itself, and
-/// requests are not spread evenly over them.
-const RETRY_PART: f64 = 0.6;
-/// When callers may come back to a pool whose servers are all in emptied failure domains. When
-/// operators take one back isn't told; work on a domain takes longer than this.
-const EMPTIED_WAIT: Duration = Duration::from_secs(2);
-/// Routers that the retries of one window are shared between, until more show: members are
-/// read at the start and may be added, and together they must not retry too much before.
-const ROUTERS: usize = 12;
-
-/// One pool.
+/// Share of the fleet-wide retry budget that routers use. Each router counts for itself, and
+/// requests aren't spread evenly over routers.
+const RETRY_SHARE: f64 = 0.6;
+/// Retry delay for callers of a pool whose servers are all in drained failure domains. When a
+/// domain returns isn't known in advance; maintenance takes longer than this.
+const DRAINED_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Minimum number of routers that share the retry budget of a window. Members are only read after
+/// the start and more may be added; until then the routers together must not exceed the budget.
+const MIN_ROUTERS: usize = 12;
+
+/// A pool of backend servers.
 #[derive(Debug)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// Bound on requests that are sent again.
+    /// Limit on retries.
     pub retries: RetryBudget,
-    /// What its servers take by their versions.
-    pub lane: Lane,
+    /// Rollout of a new version of its servers.
+    pub rollout: PoolRollout,
     spec: ArcSwap<PoolSpec>,
     fleet: Mutex<Fleet>,
-    places: ArcSwap<HashMap<ServerName, Place>>,
+    servers: ArcSwap<HashMap<ServerName, ServerInfo>>,
     domains: Arc<Domains>,
     words: Arc<Words>,
     clock: Instant,
-    /// Told when there is something that peers should know.
+    /// Notified when there are updates for peers.
     changed: Arc<Notify>,
 }
 
-/// Retries that one router may have saved up, among as many routers as are known.
+/// Retries that one router may accumulate in a fleet of `routers`.
 fn retry_burst(settings: &RouterSettings, routers: usize) -> u32 {
-    let routers = routers.max(ROUTERS) as f64;
-    (settings.retries.slack * RETRY_PART / routers).max(1.0) as u32
+    let routers = routers.max(MIN_ROUTERS) as f64;
+    (settings.retries.slack * RETRY_SHARE / routers).max(1.0) as u32
 }
 
-/// Where a server is.
+/// Directory data of one server.
 #[derive(Clone, Debug)]
-struct Place {
+struct ServerInfo {
     address: SocketAddr,
     version: VersionName,
     standing: Standing,
 }
 
-/// A chosen server.
+/// A server selected for a request.
 #[derive(Clone, Debug)]
-pub struct Chosen {
-    /// Its name, and when it started.
-    pub start: Start,
-    /// Where it listens.
+pub struct SelectedServer {
+    /// Name and start time.
+    pub instance: ServerInstance,
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// What decides whether requests may go there.
+    /// Whether it may get requests, and why not.
     pub standing: Standing,
 }
 
-/// What a request asks of the server that it is sent to.
+/// Requirements of a request on its server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wish<'a> {
-    /// Hash of the prompt's prefix, which other requests have too; 0: none.
+pub struct ServerCriteria<'a> {
+    /// Hash of the prompt prefix shared with other requests; 0 if there is none.
     pub prefix: u64,
     /// Length of its prompt.
     pub prompt: Prompt,
-    /// Time to the first event that the caller hopes for.
-    pub aim: Duration,
-    /// Failure domains that it may go to; all where there is nothing.
+    /// Target time to first event.
+    pub latency_target: Duration,
+    /// Failure domains that are allowed; `None` for all.
     pub domains: Option<&'a HashSet<DomainName>>,
-    /// Servers that it isn't to be sent to.
+    /// Servers that must not be selected.
     pub exclude: &'a [ServerIdx],
-    /// Its route, which its answer is counted with.
+    /// Route under which its response is counted.
     pub route: Option<&'a Arc<str>>,
-    /// Whether it may be one of a roll-out's trial.
-    pub may_try: bool,
+    /// Whether it may go to a canary server.
+    pub may_canary: bool,
 }
 
 impl Pool {
     fn new(spec: Arc<PoolSpec>, settings: &RouterSettings, shared: &Shared) -> Self {
         let mut policy = FleetPolicy::new(settings.domain.clone());
         policy.seed = xxh3_64(settings.vm.as_str().as_bytes());
-        let share = settings.retries.ratio * RETRY_PART;
+        let share = settings.retries.ratio * RETRY_SHARE;
         let mut fleet = Fleet::new(policy, Box::new(Unmixed::default()));
-        fleet.set_pause(spec.pause);
+        fleet.set_pause(spec.max_gap);
         fleet.set_warmup(spec.warmup);
         fleet.set_emptied(&shared.domains.emptied(), 0);
         fleet.set_routers(shared.routers.load(Relaxed));
@@ -123,10 +123,10 @@
                 retry_burst(settings, 0),
                 settings.retries.window,
             ),
-            lane: Lane::new(settings.rollouts),
+            rollout: PoolRollout::new(settings.rollouts),
             spec: ArcSwap::new(spec),
             fleet: Mutex::new(fleet),
-            places: ArcSwap::default(),
+            servers: ArcSwap::default(),
             domains: Arc::clone(&shared.domains),
             words: Arc::clone(&shared.words),
             clock: shared.clock,
@@ -134,24 +134,25 @@
         }
     }
 
-    /// Counts a request that may have to be sent again.
+    /// Counts a request towards the retry budget.
     pub(crate) fn on_request(&self) {
         self.retries.on_request(self.now());
     }
 
-    /// What peers should know and were not told yet.
-    pub(crate) fn take_notes(&self) -> Vec<Note> {
+    /// Takes the updates about servers that peers haven't received yet.
+    pub(crate) fn take_updates(&self) -> Vec<Note> {
         self.fleet().take_notes()
     }
 
-    /// Takes what a peer tells of a server.
-    pub(crate) fn on_note(&self, peer: u64, note: &Note) {
+    /// Applies a peer's update about a server.
+    pub(crate) fn on_peer_update(&self, peer: u64, update: &Note) {
         let now = self.now();
-        self.with_speeds(|fleet| fleet.on_note(peer, now, note));
+        self.change_fleet(|fleet| fleet.on_note(peer, now, update));
     }
 
-    /// Changes the fleet, and logs when long prompts are kept away from other servers then.
-    fn with_speeds(&self, change: impl FnOnce(&mut Fleet)) {
+    /// Changes the fleet, and logs if this changes the number of servers that long prompts are kept
+    /// away from.
+    fn change_fleet(&self, change: impl FnOnce(&mut Fleet)) {
         let mut fleet = self.fleet();
         let before = fleet.quiet_len();
         change(&mut fleet);
@@ -161,7 +162,7 @@
         if before != after {
             event!(
                 info,
-                "pool.quiet_servers",
+                "pool.isolated_servers",
                 pool = self.name,
                 servers = after,
                 before = before,
@@ -170,80 +171,86 @@
         }
     }
 
-    /// What is declared of it.
+    /// The configured specification.
     #[must_use]
     pub fn spec(&self) -> Arc<PoolSpec> {
         self.spec.load_full()
     }
 
-    /// Chooses a server for a request, and counts the request as sent. `None` when no server
+    /// Selects a server for a request and counts the request as sent. Returns `None` if no server
     /// can take it.
     #[must_use]
-    pub fn send(self: &Arc<Self>, wish: &Wish<'_>) -> Option<(Chosen, Ticket)> {
+    pub fn send(
+        self: &Arc<Self>,
+        criteria: &ServerCriteria<'_>,
+    ) -> Option<(SelectedServer, Ticket)> {
         let now = self.now();
-        let is_trial = wish.may_try && self.lane.is_trial(rand::random());
+        let is_canary = criteria.may_canary && self.rollout.is_canary(rand::random());
         let mut pick = Pick {
             now,
-            is_trial,
-            prefix: wish.prefix,
-            prompt: wish.prompt,
-            aim: wish.aim.as_micros() as Micros,
-            exclude: wish.exclude,
-            domains: wish.domains,
+            is_canary,
+            prefix: criteria.prefix,
+            prompt: criteria.prompt,
+            aim: criteria.latency_target.as_micros() as Micros,
+            exclude: criteria.exclude,
+            domains: criteria.domains,
             may_probe: true,
         };
         let mut fleet = self.fleet();
-        let mut sent = fleet.send(&pick, &mut rand::rng());
-        if sent.is_none() && is_trial {
-            pick.is_trial = false;
-            sent = fleet.send(&pick, &mut rand::rng());
+        let mut dispatch = fleet.send(&pick, &mut rand::rng());
+        if dispatch.is_none() && is_canary {
+            pick.is_canary = false;
+            dispatch = fleet.send(&pick, &mut rand::rng());
         }
-        let sent = sent?;
-        let start = fleet.get(sent.idx)?.start().clone();
-        let place = self.places.load().get(&start.name).cloned();
+        let dispatch = dispatch?;
+        let instance = fleet.get(dispatch.idx)?.instance().clone();
+        let info = self.servers.load().get(&instance.name).cloned();
         drop(fleet);
         self.changed.notify_one();
-        let idx = sent.idx;
-        let mark = self.mark(wish.route, place.as_ref());
+        let idx = dispatch.idx;
+        let response_key = self.response_key(criteria.route, info.as_ref());
         let ticket = Ticket {
             pool: Arc::clone(self),
-            sent: Some(sent),
+            dispatch: Some(dispatch),
             idx,
-            mark,
-            is_answered: false,
+            response_key,
+            has_response: false,
         };
-        let Place {
+        let ServerInfo {
             address, standing, ..
-        } = place?;
-        let chosen = Chosen {
-            start,
+        } = info?;
+        let selected = SelectedServer {
+            instance,
             address,
             standing,
         };
-        Some((chosen, ticket))
+        Some((selected, ticket))
     }
 
-    fn mark(&self, route: Option<&Arc<str>>, place: Option<&Place>) -> Option<Mark> {
-        self.lane.mark(route?, &place?.version)
+    fn response_key(
+        &self,
+        route: Option<&Arc<str>>,
+        info: Option<&ServerInfo>,
+    ) -> Option<ResponseKey> {
+        self.rollout.response_key(route?, &info?.version)
     }
 
-    /// Servers of a version that may get work, and all others.
-    pub(crate) fn count(&self, version: &VersionName) -> (usize, usize) {
-        let places = self.places.load();
-        let new = places.values().filter(|place| place.version == *version);
-        let new = new
-            .filter(|place| !place.standing.word.is_leaving())
-            .count();
-        let old = places.values().filter(|place| place.version != *version);
+    /// Number of servers of a version that aren't draining, and number of servers of other
+    /// versions.
+    pub(crate) fn count_servers(&self, version: &VersionName) -> (usize, usize) {
+        let servers = self.servers.load();
+        let new = servers.values().filter(|info| info.version == *version);
+        let new = new.filter(|info| !info.standing.word.is_leaving()).count();
+        let old = servers.values().filter(|info| info.version != *version);
         (new, old.count())
     }
 
-    /// Requests of this router that run at servers of other versions.
+    /// Requests of this router that run on servers of other versions.
     #[must_use]
-    pub fn running_elsewhere(&self, version: &VersionName) -> u64 {
-        let places = self.places.load();
+    pub fn running_on_others(&self, version: &VersionName) -> u64 {
+        let servers = self.servers.load();
         let fleet = self.fleet();
-        let others = places.iter().filter(|(_, place)| place.version != *version);
+        let others = servers.iter().filter(|(_, info)| info.version != *version);
         let servers = others.filter_map(|(name, _)| fleet.get(fleet.find(name)?));
         servers
             .map(|server| u64::from(server.load().in_flight()))
@@ -252,28 +259,29 @@
 
     fn set_spec(&self, spec: Arc<PoolSpec>) {
         let mut fleet = self.fleet();
-        fleet.set_pause(spec.pause);
+        fleet.set_pause(spec.max_gap);
         fleet.set_warmup(spec.warmup);
         drop(fleet);
         self.spec.store(spec);
     }
 
-    /// Servers that may get work.
+    /// Number of servers that may get requests.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_len(&self) -> usize {
         self.fleet().open_len()
     }
 
-    /// Servers that are cold and may get work.
+    /// Number of servers that may get requests and are still warming up.
     #[must_use]
-    pub fn cold(&self) -> usize {
+    pub fn cold_len(&self) -> usize {
         self.fleet().cold_len()
     }
 
-    /// When a server may take work again, where none does since all are cold, rest or are in emptied
-    /// failure domains. `None` where some are open: when one of those has room isn't known.
+    /// Time until a server may get requests again, if none does because all are warming up, backing
+    /// off or in drained failure domains. Returns `None` if some may get requests: when one of
+    /// those has capacity isn't known.
     #[must_use]
-    pub fn back_in(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         let fleet = self.fleet();
         if fleet.open_len() > fleet.cold_len() {
             return None;
@@ -281,43 +289,43 @@
         let now = self.now();
         let waits = [fleet.warm_in(now), fleet.rest_left(now)];
         let first = waits.into_iter().flatten().min();
-        first.or_else(|| fleet.has_emptied().then_some(EMPTIED_WAIT))
+        first.or_else(|| fleet.has_emptied().then_some(DRAINED_RETRY_DELAY))
     }
 
-    /// A server's answer says how much longer it is cold.
+    /// Applies the remaining warm-up time that a server's response announces.
     pub fn on_cold(&self, idx: ServerIdx, left: Duration) {
         let now = self.now();
         self.fleet().on_cold(idx, now, left.as_micros() as Micros);
     }
 
-    /// A server's answer says that it leaves.
-    pub fn on_leaving(&self, idx: ServerIdx, server: &Chosen) {
+    /// Handles a response that announces that its server is draining.
+    pub fn on_draining(&self, idx: ServerIdx, server: &SelectedServer) {
         if !server.standing.word.leave() {
             return;
         }
-        event!(info, "server.leaving", server = server.start.name);
+        event!(info, "server.draining", server = server.instance.name);
         self.fleet().on_leaving(idx);
     }
 
-    /// A server's answer asks for so long a rest.
-    pub fn on_rest(&self, idx: ServerIdx, server: &Chosen, time: Duration) {
+    /// Handles a response that asks for backoff.
+    pub fn on_backoff(&self, idx: ServerIdx, server: &SelectedServer, time: Duration) {
         let before = server.standing.word.rest_left();
         server.standing.word.rest(time);
         if before.is_zero() {
-            let name = &server.start.name;
-            event!(info, "server.resting", server = name, ms = time.as_millis());
+            let name = &server.instance.name;
+            event!(info, "server.backoff", server = name, ms = time.as_millis());
         }
         let now = self.now();
         let until = now.saturating_add(time.as_micros() as Micros);
         self.fleet().on_rest(idx, now, until);
     }
 
-    fn set_emptied(&self, emptied: &HashSet<DomainName>) {
+    fn set_drained_domains(&self, drained: &HashSet<DomainName>) {
         let now = self.now();
-        self.fleet().set_emptied(emptied, now);
+        self.fleet().set_emptied(drained, now);
     }
 
-    /// A server's report of its load.
+    /// Applies a server's load report.
     pub fn on_report(&self, idx: ServerIdx, report: LoadReport) {
         let now = self.now();
         self.fleet().on_report(idx, now, report);
@@ -325,36 +333,37 @@
 
     fn set_servers(&self, entries: &[&ServerEntry]) {
         let mut specs = Vec::with_capacity(entries.len());
-        let mut places = HashMap::with_capacity(entries.len());
+        let mut servers = HashMap::with_capacity(entries.len());
         let now = self.now();
-        let parts = self.lane.assign(entries, now);
-        for (entry, part) in entries.iter().zip(parts) {
-            let word = self.words.of(&entry.start);
+        let assignments = self.rollout.assign(entries, now);
+        for (entry, assignment) in entries.iter().zip(assignments) {
+            let word = self.words.of(&entry.instance);
             specs.push(ServerSpec {
-                start: entry.start.clone(),
+                instance: entry.instance.clone(),
                 domain: entry.domain.clone(),
                 vm: None,
                 slots: entry.slots,
-                drain: entry.draining || word.is_leaving() || part == Part::Held,
-                is_trial: part == Part::Trial,
+                drain: entry.draining || word.is_leaving() || assignment == Assignment::Excluded,
+                is_canary: assignment == Assignment::Canary,
                 cold_until: cold_until(now, entry.warmup),
             });
-            let place = Place {
+            let info = ServerInfo {
                 address: entry.address,
                 version: entry.version.clone(),
                 standing: Standing {
                     domain: self.domains.get(&entry.domain),
                     word,
-                    gate: self.lane.gate(&entry.version),
+                    gate: self.rollout.gate(&entry.version),
                 },
             };
-            places.insert(entry.start.name.clone(), place);
+            servers.insert(entry.instance.name.clone(), info);
         }
-        // Whoever chooses a server finds the place of that start.
+        // The fleet is locked until the entries are stored, so that a selected server always has
+        // the entry of its instance.
         let mut fleet = self.fleet();
         fleet.set_config(&specs);
-        rest_on(&mut fleet, &places, now);
-        self.places.store(Arc::new(places));
+        restore_backoff(&mut fleet, &servers, now);
+        self.servers.store(Arc::new(servers));
     }
 
     fn now(&self) -> Micros {
@@ -362,15 +371,15 @@
     }
 
     fn fleet(&self) -> MutexGuard<'_, Fleet> {
-        // The fleet's methods leave it whole, also when one of them panics.
+        // The fleet's methods keep it consistent even if one of them panics.
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Servers that asked for rest go on resting when their entries have come back.
-fn rest_on(fleet: &mut Fleet, places: &HashMap<ServerName, Place>, now: Micros) {
-    for (name, place) in places {
-        let left = place.standing.word.rest_left();
+/// Restores the backoff of servers whose entries were removed and came back.
+fn restore_backoff(fleet: &mut Fleet, servers: &HashMap<ServerName, ServerInfo>, now: Micros) {
+    for (name, info) in servers {
+        let left = info.standing.word.rest_left();
         if left.is_zero() {
             continue;
         }
@@ -380,7 +389,7 @@
     }
 }
 
-/// Until when a server is cold that is so for `left` longer; 0 when it is warm.
+/// Time until which a server is warming up; 0 if `left` is zero.
 fn cold_until(now: Micros, left: Duration) -> Micros {
     if left.is_zero() {
         return 0;
--- a/crates/gateway/src/fleet/pools.rs
+++ b/crates/gateway/src/fleet/pools.rs
@@ -1,4 +1,4 @@
-//! All pools: what changes them, and in which order.
+//! The set of all pools, and the order in which changes apply to them.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -18,27 +18,27 @@
 use crate::settings::RouterSettings;
 use crate::standing::Words;
 
-/// All pools.
+/// All pools of this router.
 #[derive(Debug)]
 pub struct Pools {
     pools: ArcSwap<HashMap<PoolName, Arc<Pool>>>,
     entries: ArcSwap<HashMap<ServerName, ServerEntry>>,
-    /// Roll-outs that are ordered, and how far they have come, also of pools that aren't known.
+    /// Rollout orders and their progress, also of pools that aren't known yet.
     rollouts: Mutex<Rollouts>,
-    /// Held while any of them changes: each must see the others' last state.
-    changing: Mutex<()>,
+    /// Serializes all changes, since each must see the state left by the previous one.
+    update_lock: Mutex<()>,
     shared: Shared,
 }
 
-/// What all pools share.
+/// State shared by all pools.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) clock: Instant,
-    /// Told when there is something that peers should know.
+    /// Notified when there are updates for peers.
     pub(super) changed: Arc<Notify>,
     pub(super) domains: Arc<Domains>,
     pub(super) words: Arc<Words>,
-    /// Routers of the fleet; 0 while they aren't known.
+    /// Number of routers in the fleet; 0 if not known yet.
     pub(super) routers: AtomicUsize,
 }
 
@@ -49,14 +49,14 @@
 }
 
 impl Pools {
-    /// No pools.
+    /// Creates an empty set.
     #[must_use]
     pub fn new() -> Self {
         Self {
             pools: ArcSwap::default(),
             entries: ArcSwap::default(),
             rollouts: Mutex::default(),
-            changing: Mutex::default(),
+            update_lock: Mutex::default(),
             shared: Shared {
                 clock: Instant::now(),
                 changed: Arc::default(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Told when there is something that peers should know.
+    /// The signal that there are updates for peers.
     pub(crate) fn changed(&self) -> Arc<Notify> {
         Arc::clone(&self.shared.changed)
     }
@@ -83,16 +83,16 @@
         self.pools.load().values().cloned().collect()
     }
 
-    /// A pool.
+    /// The pool with this name.
     #[must_use]
     pub fn get(&self, name: &PoolName) -> Option<Arc<Pool>> {
         self.pools.load().get(name).cloned()
     }
 
-    /// Takes the pools of a configuration. One that is no longer declared stays for the
+    /// Applies the pools of a configuration. A pool that is no longer configured is kept for the
     /// requests that it has.
     pub fn set_config(&self, config: &Config, settings: &RouterSettings) {
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         let mut pools = HashMap::clone(&self.pools.load());
         for (name, spec) in &config.pools {
             if let Some(pool) = pools.get(name) {
@@ -101,13 +101,13 @@
             }
             let pool = Pool::new(Arc::clone(spec), settings, &self.shared);
             self.set_rollout(&pool);
-            pool.set_servers(&members(&self.entries.load(), name));
+            pool.set_servers(&servers_of(&self.entries.load(), name));
             pools.insert(name.clone(), Arc::new(pool));
         }
         self.pools.store(Arc::new(pools));
     }
 
-    /// Takes the number of routers that the fleet-wide retries are shared between.
+    /// Sets the number of routers that share the fleet-wide retry budget.
     pub fn set_routers(&self, routers: usize, settings: &RouterSettings) {
         let burst = retry_burst(settings, routers);
         self.shared.routers.store(routers, Relaxed);
@@ -119,30 +119,30 @@
         }
     }
 
-    /// Takes the failure domains whose servers get no requests; all others do.
-    pub fn set_emptied(&self, emptied: HashSet<DomainName>) {
-        let _changing = self.changing();
-        self.shared.domains.set_emptied(emptied);
-        let emptied = self.shared.domains.emptied();
+    /// Sets the drained failure domains, whose servers get no requests.
+    pub fn set_drained_domains(&self, drained: HashSet<DomainName>) {
+        let _guard = self.update_lock();
+        self.shared.domains.set_emptied(drained);
+        let drained = self.shared.domains.emptied();
         for pool in self.pools.load().values() {
-            pool.set_emptied(&emptied);
+            pool.set_drained_domains(&drained);
         }
     }
 
-    /// Takes all servers that there are.
+    /// Replaces the directory of servers.
     pub fn set_servers(&self, entries: HashMap<ServerName, ServerEntry>) {
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         self.shared.words.prune();
         let entries = Arc::new(entries);
         self.entries.store(Arc::clone(&entries));
         for (name, pool) in self.pools.load().iter() {
-            pool.set_servers(&members(&entries, name));
+            pool.set_servers(&servers_of(&entries, name));
         }
     }
 
-    /// Takes all roll-outs that are ordered.
+    /// Replaces the rollout orders.
     pub fn set_orders(&self, orders: HashMap<PoolName, Order>) {
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         self.rollouts().orders = orders;
         for pool in self.pools.load().values() {
             if self.set_rollout(pool) {
@@ -151,9 +151,9 @@
         }
     }
 
-    /// Takes how far a pool's roll-out has come. Says whether that is new.
+    /// Updates the progress of a pool's rollout. Returns whether it is newer than the known one.
     pub fn set_progress(&self, name: &PoolName, progress: &Progress) -> bool {
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         let mut rollouts = self.rollouts();
         let known = rollouts.progress.get(name);
         if known.is_some_and(|known| (known.order, known.stage) >= (progress.order, progress.stage))
@@ -170,43 +170,45 @@
         true
     }
 
-    /// All that operators ordered up to `at` is known.
+    /// Confirms that all orders submitted up to `at` are known.
     pub fn confirm_orders(&self, at: tokio::time::Instant) {
         let stamp = at.into_std().saturating_duration_since(self.shared.clock);
         let stamp = stamp.as_micros() as Micros;
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         for pool in self.pools.load().values() {
-            if pool.lane.confirm(stamp) {
+            if pool.rollout.confirm(stamp) {
                 self.assign(pool);
             }
         }
     }
 
-    /// Tells a pool of its roll-out. Says whether that changes what its servers take.
+    /// Updates the rollout of a pool. Returns whether this changes the assignment of its servers.
     fn set_rollout(&self, pool: &Pool) -> bool {
         let rollouts = self.rollouts();
-        let is_ordered = pool.lane.set_order(rollouts.orders.get(&pool.name));
+        let has_new_order = pool.rollout.set_order(rollouts.orders.get(&pool.name));
         let progress = rollouts.progress.get(&pool.name);
-        let has_gone_on = progress.is_some_and(|progress| pool.lane.set_progress(progress));
-        is_ordered || has_gone_on
+        let has_advanced = progress.is_some_and(|progress| pool.rollout.set_progress(progress));
+        has_new_order || has_advanced
     }
 
-    /// What a pool's servers take changes.
+    /// Reassigns requests to a pool's servers.
     fn assign(&self, pool: &Pool) {
-        pool.set_servers(&members(&self.entries.load(), &pool.name));
+        pool.set_servers(&servers_of(&self.entries.load(), &pool.name));
     }
 
     fn rollouts(&self) -> MutexGuard<'_, Rollouts> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn changing(&self) -> MutexGuard<'_, ()> {
-        self.changing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn update_lock(&self) -> MutexGuard<'_, ()> {
+        self.update_lock
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The servers of one pool.
-fn members<'a>(
+fn servers_of<'a>(
     entries: &'a HashMap<ServerName, ServerEntry>,
     pool: &PoolName,
 ) -> Vec<&'a ServerEntry> {
--- a/crates/gateway/src/fleet/ticket.rs
+++ b/crates/gateway/src/fleet/ticket.rs
@@ -1,4 +1,4 @@
-//! A request at a server, and what its end says of that.
+//! Handle of a request on a server, which reports the outcome to the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,75 +7,83 @@
 use swiftlink_types::Micros;
 
 use super::Pool;
-use crate::rollout::Mark;
+use crate::rollout::ResponseKey;
 
-/// A request that was sent to a server. Dropped, it says nothing of the server.
+/// A request that was sent to a server. If dropped, its outcome doesn't count for or against the
+/// server.
 #[derive(Debug)]
 pub struct Ticket {
     pub(super) pool: Arc<Pool>,
-    pub(super) sent: Option<Sent>,
-    /// The server.
+    pub(super) dispatch: Option<Sent>,
+    /// Server of the request.
     pub idx: ServerIdx,
-    /// What its answer is counted with while a roll-out runs.
-    pub(super) mark: Option<Mark>,
-    pub(super) is_answered: bool,
+    /// Key under which the response is counted during a rollout.
+    pub(super) response_key: Option<ResponseKey>,
+    pub(super) has_response: bool,
 }
 
 impl Ticket {
-    /// The answer's first byte or event is there.
-    pub fn first(&mut self) {
+    /// Handles the first byte or event of the response.
+    pub fn on_first_event(&mut self) {
         let now = self.pool.now();
-        if let Some(sent) = &mut self.sent {
-            if let Some(mark) = self.mark.as_ref().filter(|_| !self.is_answered) {
-                self.pool.lane.on_first(mark, now.saturating_sub(sent.at));
+        if let Some(dispatch) = &mut self.dispatch {
+            if let Some(response_key) = self.response_key.as_ref().filter(|_| !self.has_response) {
+                self.pool
+                    .rollout
+                    .on_first_event(response_key, now.saturating_sub(dispatch.at));
             }
-            self.is_answered = true;
-            self.pool.fleet().on_first_token(sent, now);
+            self.has_response = true;
+            self.pool.fleet().on_first_token(dispatch, now);
         }
         self.pool.changed.notify_one();
     }
 
-    /// How the events of the answer followed each other.
-    pub fn flow(&self, flow: Flow) {
-        self.pool.with_speeds(|fleet| fleet.on_flow(self.idx, flow));
+    /// Records the timing of the response's events.
+    pub fn on_flow(&self, flow: Flow) {
+        self.pool
+            .change_fleet(|fleet| fleet.on_flow(self.idx, flow));
     }
 
-    /// The events of the answer followed each other with such pauses in the mean.
-    pub fn pace(&self, pause: Duration) {
-        if let Some(mark) = &self.mark {
-            self.pool.lane.on_pause(mark, pause.as_micros() as Micros);
+    /// Records the mean gap between the response's events.
+    pub fn on_mean_gap(&self, gap: Duration) {
+        if let Some(response_key) = &self.response_key {
+            self.pool
+                .rollout
+                .on_gap(response_key, gap.as_micros() as Micros);
         }
     }
 
-    /// The answer hasn't come to its end in time, which may be its length.
+    /// Counts a response that didn't complete in time. The reason may be its length, so the server
+    /// isn't blamed.
     pub fn time_out(self) {
-        self.count(true);
+        self.count_response(true);
     }
 
-    /// The answer has come to its end.
-    pub fn end(mut self) {
-        self.count(false);
+    /// Handles the complete response.
+    pub fn complete(mut self) {
+        self.count_response(false);
         let now = self.pool.now();
-        if let Some(sent) = self.sent.take() {
-            self.pool.fleet().on_end(sent, now);
+        if let Some(dispatch) = self.dispatch.take() {
+            self.pool.fleet().on_end(dispatch, now);
         }
     }
 
-    /// The request failed by the server's fault.
+    /// Handles a failure caused by the server.
     pub fn fail(mut self, kind: ErrorKind) {
-        // One crash breaks many answers, and isn't a version's fault more than once.
+        // Only statuses and timeouts count against a version: one crash breaks many responses, but
+        // is one fault.
         if matches!(kind, ErrorKind::Status | ErrorKind::Timeout) {
-            self.count(true);
+            self.count_response(true);
         }
         let now = self.pool.now();
-        if let Some(sent) = self.sent.take() {
-            self.pool.fleet().on_error(sent, now, kind);
+        if let Some(dispatch) = self.dispatch.take() {
+            self.pool.fleet().on_error(dispatch, now, kind);
         }
     }
 
-    fn count(&self, has_failed: bool) {
-        if let Some(mark) = &self.mark {
-            self.pool.lane.on_done(mark, has_failed);
+    fn count_response(&self, has_failed: bool) {
+        if let Some(response_key) = &self.response_key {
+            self.pool.rollout.on_completed(response_key, has_failed);
         }
     }
 }
@@ -83,8 +91,8 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let now = self.pool.now();
-        if let Some(sent) = self.sent.take() {
-            self.pool.fleet().on_unused(sent, now);
+        if let Some(dispatch) = self.dispatch.take() {
+            self.pool.fleet().on_unused(dispatch, now);
         }
     }
 }
--- a/crates/gateway/src/model/config.rs
+++ b/crates/gateway/src/model/config.rs
@@ -9,53 +9,53 @@
 
 use super::table::RouteTable;
 
-/// A whole configuration; versions only grow.
+/// A complete configuration. Versions only increase.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its version.
+    /// Version number.
     pub version: u64,
     /// Routes.
     pub routes: RouteTable,
     /// Pools of backend servers.
     pub pools: HashMap<PoolName, Arc<PoolSpec>>,
-    /// What a caller's request may measure.
+    /// Limits on requests of callers.
     pub limits: RequestLimits,
     /// Workspaces by name.
     pub workspaces: HashMap<WorkspaceName, Arc<Workspace>>,
-    /// Workspaces by their callers' keys.
+    /// Workspaces by the API keys of their callers.
     pub keys: HashMap<Box<str>, Arc<Workspace>>,
 }
 
 /// A pool of backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSpec {
-    /// Its name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// Most output tokens that one event of a stream holds; `None` where the servers are
-    /// no model engines.
-    pub stride: Option<u64>,
-    /// Longest pause between two events that callers of all its routes accept.
-    pub pause: Option<Duration>,
-    /// What a server bears after its start; `None` where a start makes no difference.
+    /// Maximum number of output tokens in one event of a stream; `None` if the servers aren't model
+    /// engines.
+    pub max_event_tokens: Option<u64>,
+    /// Maximum gap between two events that is acceptable on all routes of the pool.
+    pub max_gap: Option<Duration>,
+    /// Load that a server takes after its start; `None` if it needs no warm-up.
     pub warmup: Option<Warmup>,
 }
 
-/// What a caller's request may measure.
+/// Limits on requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Longest body, in bytes.
-    pub body: usize,
+    /// Maximum size of a body, in bytes.
+    pub max_body: usize,
 }
 
-/// A workspace: who prepays and is charged.
+/// A workspace, which prepays for tokens and is charged for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceName,
-    /// Rank of its requests, which goes before that of the route; 0 is the most urgent.
+    /// Priority of its requests, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Regions whose servers may get its requests; all where there are none.
-    pub homes: Vec<RegionName>,
-    /// Tokens that it may spend in all; `None`: as many as it likes.
+    /// Regions whose servers may get its requests; empty for all regions.
+    pub allowed_regions: Vec<RegionName>,
+    /// Total tokens it may spend; `None` for no limit.
     pub prepaid: Option<Tokens>,
 }
--- a/crates/gateway/src/model/mod.rs
+++ b/crates/gateway/src/model/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration in force, as the router core uses it.
+//! The active configuration in the form that the router core uses.
 //!
-//! A [`Config`] is built once by the adapter and never changed; requests read it
-//! without a lock. `route` holds what a route allows, `table` finds a request's route.
+//! The adapter builds a [`Config`] once and it is immutable afterwards, so requests read it without
+//! a lock. `route` holds what a route allows, `table` looks up the route of a request.
 
 mod config;
 mod route;
--- a/crates/gateway/src/model/route.rs
+++ b/crates/gateway/src/model/route.rs
@@ -1,23 +1,23 @@
-//! Routes: which requests they take, and what may be done with them.
+//! Routes: which requests they match, and how these are handled.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use swiftlink_types::{PoolName, RegionName};
 
-/// What kind of work a route carries.
+/// Kind of requests on a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Calls that may run more than once.
+    /// Calls that may be executed more than once.
     Idempotent,
-    /// Calls that may run once at most.
+    /// Calls that may be executed at most once.
     NonIdempotent,
-    /// Answers that are a series of events.
+    /// Responses that are a stream of events.
     Streaming,
 }
 
 impl RouteKind {
-    /// Its name in logs and metrics.
+    /// Name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -28,59 +28,59 @@
     }
 }
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request may be retried after it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Replay {
-    /// Never.
+    /// Not at all.
     Never,
-    /// As a whole.
+    /// From the beginning.
     Whole,
-    /// From the last event that the caller has.
+    /// From the last event that the caller received.
     Resume,
 }
 
-/// A part of a route's traffic.
+/// A weighted share of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Pool of backend servers that gets it.
+    /// Pool that serves it.
     pub pool: PoolName,
-    /// Its share, against the sum of all weights of the route.
+    /// Weight, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// A declared route.
+/// A configured route.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Host that it answers to.
+    /// Host that it matches.
     pub host: Arc<str>,
-    /// Paths that it takes begin with this.
+    /// Path prefix that it matches.
     pub prefix: Arc<str>,
-    /// What kind of work it carries.
+    /// Kind of requests.
     pub kind: RouteKind,
-    /// Where its requests go; never empty.
+    /// Pools that serve its requests; never empty.
     pub targets: Vec<Target>,
-    /// Longest time that a request may be kept.
+    /// Maximum time for a request.
     pub timeout: Duration,
-    /// Time to the answer, or to its first event, that callers hope for.
-    pub aim: Duration,
-    /// Longest pause between two events of an answer that callers accept.
-    pub pause: Option<Duration>,
-    /// Rank of its requests; 0 is the most urgent.
+    /// Target latency of the response, or of its first event.
+    pub latency_target: Duration,
+    /// Maximum acceptable gap between two events of a response.
+    pub max_gap: Option<Duration>,
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Most backend servers that one request may run on.
-    pub attempts: u32,
-    /// Regions whose servers may get its requests; all where there are none.
-    pub homes: Vec<RegionName>,
-    /// Whether requests need no key.
+    /// Maximum number of backend servers that one request may run on.
+    pub max_attempts: u32,
+    /// Regions whose servers may get its requests; empty for all regions.
+    pub allowed_regions: Vec<RegionName>,
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Whether an answer that broke off may go on at another server.
+    /// Whether an interrupted response may be resumed on another server.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a request of this route may be sent again after it may have run.
+    /// Whether a request of this route may be retried after it may have been executed.
     #[must_use]
     pub fn replay(&self) -> Replay {
         match self.kind {
@@ -91,21 +91,21 @@
         }
     }
 
-    /// The target for a request; `draw` is drawn evenly from 0 up to 1.
+    /// The target of a request; `draw` is uniform in [0, 1).
     #[must_use]
     pub fn target(&self, draw: f64) -> Option<&Target> {
-        let all: u64 = self
+        let total: u64 = self
             .targets
             .iter()
             .map(|target| u64::from(target.weight))
             .sum();
-        let mut left = (draw * all as f64) as u64;
+        let mut remaining = (draw * total as f64) as u64;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(target);
             }
-            left -= weight;
+            remaining -= weight;
         }
         self.targets.last()
     }
--- a/crates/gateway/src/model/table.rs
+++ b/crates/gateway/src/model/table.rs
@@ -1,18 +1,18 @@
-//! Finds the route of a request.
+//! Looks up the route of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use super::route::Route;
 
-/// Routes by host, each host's with the longest prefix first.
+/// Routes by host. Those of one host are sorted with the longest prefix first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// A table of `routes`.
+    /// Creates a table of `routes`.
     #[must_use]
     pub fn new(routes: Vec<Route>) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
@@ -26,7 +26,7 @@
         Self { hosts }
     }
 
-    /// The route with the longest prefix that begins `path`, among those of `host`.
+    /// The route of `host` with the longest prefix that matches `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
@@ -39,7 +39,7 @@
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
--- /dev/null
+++ b/crates/gateway/src/quarantine/crash_detection.rs
@@ -0,0 +1,133 @@
+//! Detects whether a server crashed after its connection broke in the middle of a response.
+//!
+//! A broken connection alone doesn't prove a crash: servers abort responses, and networks reset
+//! connections, while the server keeps running. After a crash nothing listens on the server's
+//! address, so a connection is attempted, once for all attempts that broke at the same time. A
+//! server that doesn't answer may be partitioned or have lost power, which no request can cause.
+
+use std::collections::{BTreeSet, HashMap, HashSet};
+use std::sync::Arc;
+
+use swiftlink_telemetry::event;
+use swiftlink_types::{ServerInstance, VmName};
+use tokio::task::JoinSet;
+
+use super::{BrokenAttempt, Quarantine, ServerCrash};
+use crate::fingerprint::Fingerprint;
+use crate::upstream::{self, Presence};
+
+/// Number of crashed servers that are remembered, for attempts whose failure is noticed a little
+/// later.
+const MAX_CRASHED: usize = 64;
+
+/// State of the servers of broken attempts.
+#[derive(Debug, Default)]
+struct Servers {
+    /// Servers being probed, with the requests that broke on them.
+    probing: HashMap<ServerInstance, HashSet<Fingerprint>>,
+    /// Crashed servers with the times of their crashes, in order of detection.
+    crashed: Vec<(ServerInstance, u64)>,
+}
+
+impl Servers {
+    fn crashed_at(&self, instance: &ServerInstance) -> Option<u64> {
+        let known = self.crashed.iter().find(|(other, _)| other == instance)?;
+        Some(known.1)
+    }
+
+    fn record_crash(&mut self, instance: ServerInstance, at: u64) {
+        if self.crashed.len() >= MAX_CRASHED {
+            self.crashed.remove(0);
+        }
+        self.crashed.push((instance, at));
+    }
+}
+
+/// Probes the servers of broken attempts until the task is aborted.
+pub(crate) async fn detect(quarantine: Arc<Quarantine>) {
+    let mut servers = Servers::default();
+    let mut probes = JoinSet::new();
+    loop {
+        tokio::select! {
+            () = quarantine.attempt_broken.notified() => {}
+            Some(result) = probes.join_next() => {
+                if let Ok((instance, presence)) = result {
+                    on_probe_result(&quarantine, &mut servers, instance, presence);
+                }
+            }
+        }
+        for attempt in quarantine.take_broken_attempts() {
+            investigate(&quarantine, &mut servers, &mut probes, &attempt);
+        }
+    }
+}
+
+fn investigate(
+    quarantine: &Quarantine,
+    servers: &mut Servers,
+    probes: &mut JoinSet<(ServerInstance, Presence)>,
+    attempt: &BrokenAttempt,
+) {
+    let instance = &attempt.server.instance;
+    if let Some(at) = servers.crashed_at(instance) {
+        let fingerprints = HashSet::from([attempt.fingerprint]);
+        quarantine.on_local_crash(&local_crash(
+            quarantine.vm.clone(),
+            instance.clone(),
+            at,
+            fingerprints,
+        ));
+        return;
+    }
+    if let Some(fingerprints) = servers.probing.get_mut(instance) {
+        fingerprints.insert(attempt.fingerprint);
+        return;
+    }
+    servers
+        .probing
+        .insert(instance.clone(), HashSet::from([attempt.fingerprint]));
+    let (endpoint, instance) = (attempt.into(), instance.clone());
+    probes.spawn(async move { (instance, upstream::ask(endpoint).await) });
+}
+
+fn on_probe_result(
+    quarantine: &Quarantine,
+    servers: &mut Servers,
+    instance: ServerInstance,
+    presence: Presence,
+) {
+    let Some(fingerprints) = servers.probing.remove(&instance) else {
+        return;
+    };
+    if presence != Presence::Gone {
+        return;
+    }
+    let now = quarantine.clock.steady();
+    event!(
+        info,
+        "server.crashed",
+        server = instance.name,
+        requests = fingerprints.len()
+    );
+    servers.record_crash(instance.clone(), now);
+    quarantine.on_local_crash(&local_crash(
+        quarantine.vm.clone(),
+        instance,
+        now,
+        fingerprints,
+    ));
+}
+
+fn local_crash(
+    vm: VmName,
+    instance: ServerInstance,
+    at: u64,
+    fingerprints: HashSet<Fingerprint>,
+) -> ServerCrash {
+    ServerCrash {
+        instance,
+        at,
+        fingerprints,
+        seen_by: BTreeSet::from([vm]),
+    }
+}
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,14 +1,16 @@
-//! Requests that end the servers that run them, and how they are kept away from servers.
+//! Detects queries of death, requests that crash the servers that run them, and keeps them away
+//! from servers.
 //!
-//! A send that breaks off asks whether its server has ended (`breaks`). If so, what this router was
-//! sending there is told to other routers (`tell`), since the same request comes back to any of
-//! them. [`Cases`] decides which requests are held. One that is held is refused at once, before
-//! rights are reserved and before a server is touched, and sends of it that wait at servers are cut.
-
-mod breaks;
-mod cases;
+//! When an attempt breaks off, `crash_detection` checks whether its server crashed. If so, the
+//! requests that this router was running there are announced to other routers (`gossip`), since the
+//! same request may be retried through any of them. [`CrashHistory`] decides which requests to
+//! hold. A held request is rejected at once, before quota is reserved and before a server is
+//! contacted, and attempts of it that wait at servers are cancelled.
+
+mod crash_detection;
+pub(crate) mod gossip;
+mod history;
 mod observers;
-pub(crate) mod tell;
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
@@ -22,266 +24,275 @@
 
 use crate::clock::Clock;
 use crate::fingerprint::{Fingerprint, Origin};
-use crate::fleet::Chosen;
+use crate::fleet::SelectedServer;
 use crate::upstream::Endpoint;
 
-pub(crate) use breaks::watch as watch_breaks;
+pub(crate) use crash_detection::detect as detect_crashes;
+pub use gossip::{GOSSIP_FANOUT, GOSSIP_ROUNDS};
 pub use observers::{OBSERVERS, ranking};
-pub use tell::{PASSED_ON, ROUNDS};
 
-pub use cases::{
-    Cases, Cleared, ENDS, ENDS_MAX, HELD_MAX, HOLD, HOLD_MAX, Held, ONE_MOMENT, PRINTS_MAX,
-    ServerEnd, Verdict,
+pub use history::{
+    CRASHES_TO_HOLD, Clearance, CrashHistory, HeldRequest, HoldChanges, INITIAL_HOLD, MAX_CRASHES,
+    MAX_FINGERPRINTS, MAX_HELD, MAX_HOLD, SIMULTANEOUS_WINDOW, ServerCrash,
 };
 
-/// Breaks that wait to be looked into; what comes beyond it in one moment tells nothing new.
-const BREAKS_MAX: usize = 4_096;
+/// Maximum number of broken attempts waiting for detection. More than that at one moment add no
+/// information.
+const MAX_BROKEN_ATTEMPTS: usize = 4_096;
 
-/// The time over which routers let go of a request, one after the other.
+/// Time over which routers release a request one after the other.
 const STAGGER_MAX: Duration = Duration::from_secs(60);
 
-/// A send that broke off.
+/// An attempt that broke off.
 #[derive(Clone, Debug)]
-pub(crate) struct Break {
-    pub(crate) server: Chosen,
-    pub(crate) print: Fingerprint,
+pub(crate) struct BrokenAttempt {
+    pub(crate) server: SelectedServer,
+    pub(crate) fingerprint: Fingerprint,
 }
 
-/// What other routers haven't been told yet.
+/// Announcements for other routers that weren't sent yet.
 #[derive(Debug, Default)]
-pub(crate) struct Untold {
-    /// Ends that this router saw.
-    pub(crate) ends: Vec<ServerEnd>,
-    /// Requests that ran well here though servers had ended under them.
-    pub(crate) served: Vec<Fingerprint>,
+pub(crate) struct Outbox {
+    /// Crashes seen by this router.
+    pub(crate) crashes: Vec<ServerCrash>,
+    /// Requests that completed here although servers had crashed while running them.
+    pub(crate) completed: Vec<Fingerprint>,
     /// Requests that are held from now on.
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<HeldRequest>,
 }
 
-impl Untold {
+impl Outbox {
     fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.served.is_empty() && self.held.is_empty()
+        self.crashes.is_empty() && self.completed.is_empty() && self.held.is_empty()
     }
 }
 
-/// The requests that are held back.
+/// The requests held by this router.
 pub struct Quarantine {
     vm: VmName,
     clock: Arc<dyn Clock>,
-    cases: Mutex<Cases>,
-    /// Whether any end is known: nothing needs to be told of a request that runs well else.
-    has_ends: AtomicBool,
-    /// How many are held.
+    history: Mutex<CrashHistory>,
+    /// Whether any crash is known. If not, completed requests need no announcement.
+    has_crashes: AtomicBool,
+    /// Number of held requests.
     held: AtomicUsize,
-    /// Counts up when one more is held.
-    holds: watch::Sender<u64>,
-    breaks: Mutex<Vec<Break>>,
-    untold: Mutex<Untold>,
-    /// Told when there is a break to look into.
-    broken: Notify,
-    /// Told when there is something to tell.
-    changed: Notify,
+    /// Incremented when a request is held.
+    hold_events: watch::Sender<u64>,
+    broken_attempts: Mutex<Vec<BrokenAttempt>>,
+    outbox: Mutex<Outbox>,
+    /// Notified when there is a broken attempt.
+    attempt_broken: Notify,
+    /// Notified when there is an announcement.
+    outbox_changed: Notify,
 }
 
 impl Quarantine {
-    /// Nothing is held yet.
+    /// Creates a quarantine without held requests.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
-            cases: Mutex::new(Cases::with_stagger(stagger(&vm))),
+            history: Mutex::new(CrashHistory::with_stagger(stagger(&vm))),
             vm,
-            has_ends: AtomicBool::new(false),
+            has_crashes: AtomicBool::new(false),
             held: AtomicUsize::new(0),
-            holds: watch::Sender::new(0),
-            breaks: Mutex::default(),
-            untold: Mutex::default(),
-            broken: Notify::new(),
-            changed: Notify::new(),
+            hold_events: watch::Sender::new(0),
+            broken_attempts: Mutex::default(),
+            outbox: Mutex::default(),
+            attempt_broken: Notify::new(),
+            outbox_changed: Notify::new(),
         }
     }
 
-    /// How much longer a request is held; `None` where it isn't.
+    /// Remaining time of a request's hold; `None` if it isn't held.
     #[must_use]
-    pub fn rest(&self, origin: &Origin) -> Option<Duration> {
+    pub fn remaining_hold(&self, origin: &Origin) -> Option<Duration> {
         if self.held_len() == 0 {
             return None;
         }
-        lock(&self.cases).rest(&origin.print(), self.clock.steady())
+        lock(&self.history).remaining_hold(&origin.print(), self.clock.steady())
     }
 
-    /// Requests that are held, or were not long ago.
+    /// Number of requests that are held or were held recently.
     #[must_use]
     pub fn held_len(&self) -> usize {
         self.held.load(Relaxed)
     }
 
-    /// Ends of servers that are known, from here and from others.
+    /// Number of known crashes, reported by this router or by others.
     #[must_use]
-    pub fn ends_len(&self) -> usize {
-        lock(&self.cases).ends_len()
+    pub fn crashes_len(&self) -> usize {
+        lock(&self.history).crashes_len()
     }
 
-    /// Resolves once a request is held.
+    /// Completes once the request is held.
     pub(crate) async fn until_held(self: Arc<Self>, origin: Arc<Origin>) {
-        let mut holds = self.holds.subscribe();
+        let mut hold_events = self.hold_events.subscribe();
         loop {
-            if self.rest(&origin).is_some() {
+            if self.remaining_hold(&origin).is_some() {
                 return;
             }
-            if holds.changed().await.is_err() {
+            if hold_events.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
-    /// A send to `server` broke off after bytes of the request had left.
-    pub(crate) fn on_break(&self, server: &Chosen, origin: &Origin) {
-        let mut breaks = lock(&self.breaks);
-        if breaks.len() >= BREAKS_MAX {
-            event!(warn, "quarantine.break_dropped", server = server.start.name);
+    /// Handles an attempt on `server` that broke off after part of the request had been sent.
+    pub(crate) fn on_broken_attempt(&self, server: &SelectedServer, origin: &Origin) {
+        let mut broken_attempts = lock(&self.broken_attempts);
+        if broken_attempts.len() >= MAX_BROKEN_ATTEMPTS {
+            event!(
+                warn,
+                "quarantine.attempt_dropped",
+                server = server.instance.name
+            );
             return;
         }
-        breaks.push(Break {
+        broken_attempts.push(BrokenAttempt {
             server: server.clone(),
-            print: origin.print(),
+            fingerprint: origin.print(),
         });
-        drop(breaks);
-        self.broken.notify_one();
+        drop(broken_attempts);
+        self.attempt_broken.notify_one();
     }
 
-    /// A request ran to a good end.
-    pub(crate) fn on_served(&self, origin: &Origin) {
-        if !self.has_ends.load(Relaxed) {
+    /// Handles a completed request.
+    pub(crate) fn on_completed(&self, origin: &Origin) {
+        if !self.has_crashes.load(Relaxed) {
             return;
         }
-        let print = origin.print();
-        if self.clear(print, self.clock.steady()) != Cleared::Nothing {
-            self.pass_on_good_end(print);
+        let fingerprint = origin.print();
+        if self.clear(fingerprint, self.clock.steady()) != Clearance::Nothing {
+            self.announce_completed(fingerprint);
         }
     }
 
-    /// This router saw a server end while it worked on requests that were sent from here.
-    fn on_end(&self, end: &ServerEnd) {
-        self.learn(end);
-        lock(&self.untold).ends.push(end.clone());
-        self.changed.notify_one();
+    /// Handles a crash that this router saw while its requests ran on the server.
+    fn on_local_crash(&self, crash: &ServerCrash) {
+        self.add_crash(crash);
+        lock(&self.outbox).crashes.push(crash.clone());
+        self.outbox_changed.notify_one();
     }
 
-    /// Takes what is known of a server's end, from here or from another router.
-    pub(crate) fn learn(&self, end: &ServerEnd) {
+    /// Adds a crash that this router or another one saw.
+    pub(crate) fn add_crash(&self, crash: &ServerCrash) {
         let now = self.clock.steady();
-        let mut cases = lock(&self.cases);
-        let Verdict { held, released } = cases.on_end(now, end);
-        self.count(&cases);
-        drop(cases);
-        for print in released {
-            event!(info, "quarantine.released", print = print);
+        let mut history = lock(&self.history);
+        let HoldChanges { held, released } = history.on_crash(now, crash);
+        self.update_counts(&history);
+        drop(history);
+        for fingerprint in released {
+            event!(info, "quarantine.released", print = fingerprint);
         }
         if held.is_empty() {
             return;
         }
-        for one in &held {
-            log_held(one);
+        for request in &held {
+            log_held(request);
         }
-        self.holds.send_modify(|count| *count += 1);
-        lock(&self.untold).held.extend(held);
-        self.changed.notify_one();
+        self.hold_events.send_modify(|count| *count += 1);
+        lock(&self.outbox).held.extend(held);
+        self.outbox_changed.notify_one();
     }
 
-    /// A request ran well at `at`, here or elsewhere.
-    pub(crate) fn clear(&self, print: Fingerprint, at: u64) -> Cleared {
-        let mut cases = lock(&self.cases);
-        let cleared = cases.on_served(print, at);
-        self.count(&cases);
-        drop(cases);
-        if cleared == Cleared::Hold {
-            event!(info, "quarantine.cleared", print = print);
+    /// Clears a request that completed at `at`, on this router or another one.
+    pub(crate) fn clear(&self, fingerprint: Fingerprint, at: u64) -> Clearance {
+        let mut history = lock(&self.history);
+        let cleared = history.on_completed(fingerprint, at);
+        self.update_counts(&history);
+        drop(history);
+        if cleared == Clearance::Hold {
+            event!(info, "quarantine.cleared", print = fingerprint);
         }
         cleared
     }
 
-    /// Tells others that a request ran well under which servers had ended.
-    pub(crate) fn pass_on_good_end(&self, print: Fingerprint) {
-        lock(&self.untold).served.push(print);
-        self.changed.notify_one();
+    /// Announces that a request completed although servers had crashed while running it.
+    pub(crate) fn announce_completed(&self, fingerprint: Fingerprint) {
+        lock(&self.outbox).completed.push(fingerprint);
+        self.outbox_changed.notify_one();
     }
 
-    fn count(&self, cases: &Cases) {
-        self.has_ends.store(!cases.is_empty(), Relaxed);
-        self.held.store(cases.held_len(), Relaxed);
+    fn update_counts(&self, history: &CrashHistory) {
+        self.has_crashes.store(!history.is_empty(), Relaxed);
+        self.held.store(history.held_len(), Relaxed);
     }
 
-    fn take_breaks(&self) -> Vec<Break> {
-        std::mem::take(&mut *lock(&self.breaks))
+    fn take_broken_attempts(&self) -> Vec<BrokenAttempt> {
+        std::mem::take(&mut *lock(&self.broken_attempts))
     }
 
-    /// Waits for something to tell, and gives it.
-    pub(crate) async fn untold(&self) -> Untold {
+    /// Waits for announcements and takes them.
+    pub(crate) async fn take_outbox(&self) -> Outbox {
         loop {
-            let untold = std::mem::take(&mut *lock(&self.untold));
-            if !untold.is_empty() {
-                return untold;
+            let outbox = std::mem::take(&mut *lock(&self.outbox));
+            if !outbox.is_empty() {
+                return outbox;
             }
-            self.changed.notified().await;
+            self.outbox_changed.notified().await;
         }
     }
 
-    /// What requests among those of `ends` are held for.
-    pub(crate) fn proofs_for(&self, ends: &[ServerEnd]) -> Vec<ServerEnd> {
-        let mut proofs = self.proofs();
-        for proof in &mut proofs {
-            let asked = |print: &Fingerprint| ends.iter().any(|end| end.prints.contains(print));
-            proof.prints.retain(asked);
+    /// The crashes that requests among those of `crashes` are held for.
+    pub(crate) fn evidence_for(&self, crashes: &[ServerCrash]) -> Vec<ServerCrash> {
+        let mut evidence = self.evidence();
+        for crash in &mut evidence {
+            let is_reported = |fingerprint: &Fingerprint| {
+                crashes
+                    .iter()
+                    .any(|crash| crash.fingerprints.contains(fingerprint))
+            };
+            crash.fingerprints.retain(is_reported);
         }
-        proofs.retain(|proof| !proof.prints.is_empty());
-        proofs
+        evidence.retain(|crash| !crash.fingerprints.is_empty());
+        evidence
     }
 
-    /// The ends that requests are held for.
-    pub(crate) fn proofs(&self) -> Vec<ServerEnd> {
-        lock(&self.cases).proofs()
+    /// The crashes that requests are held for.
+    pub(crate) fn evidence(&self) -> Vec<ServerCrash> {
+        lock(&self.history).evidence()
     }
 }
 
 impl fmt::Debug for Quarantine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let cases = lock(&self.cases);
+        let history = lock(&self.history);
         f.debug_struct("Quarantine")
-            .field("cases", &*cases)
+            .field("history", &*history)
             .finish_non_exhaustive()
     }
 }
 
-/// How much longer a router holds requests than the first one does: drawn by its VM's name.
+/// How much longer than the first router a router holds requests, derived from the name of its VM.
 fn stagger(vm: &VmName) -> Duration {
-    let drawn = xxh3_64(vm.as_str().as_bytes()) as f64 / u64::MAX as f64;
-    STAGGER_MAX.mul_f64(drawn)
+    let fraction = xxh3_64(vm.as_str().as_bytes()) as f64 / u64::MAX as f64;
+    STAGGER_MAX.mul_f64(fraction)
 }
 
-/// One line says by which ends, seen by whom, a request is held.
-fn log_held(held: &Held) {
-    let ends = held.ends.iter().map(|end| {
-        let seen: Vec<&str> = end.seen_by.iter().map(VmName::as_str).collect();
-        format!("{}@{}", end.start.name, seen.join("+"))
+/// Logs the crashes that a request is held for, with the VMs that saw them.
+fn log_held(held: &HeldRequest) {
+    let crashes = held.crashes.iter().map(|crash| {
+        let seen: Vec<&str> = crash.seen_by.iter().map(VmName::as_str).collect();
+        format!("{}@{}", crash.instance.name, seen.join("+"))
     });
     event!(
         warn,
         "quarantine.held",
-        print = held.print,
-        secs = held.term.as_secs(),
-        ends = ends.collect::<Vec<_>>().join(","),
+        print = held.fingerprint,
+        secs = held.duration.as_secs(),
+        ends = crashes.collect::<Vec<_>>().join(","),
     );
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // What they guard is whole between any two calls.
+    // The guarded values are consistent between calls, so a poisoned lock can be used.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where the server of a break is reached.
-impl From<&Break> for Endpoint {
-    fn from(brk: &Break) -> Self {
-        Self::of(brk.server.address, &brk.server.start)
+/// The endpoint of the server of a broken attempt.
+impl From<&BrokenAttempt> for Endpoint {
+    fn from(attempt: &BrokenAttempt) -> Self {
+        Self::of(attempt.server.address, &attempt.server.instance)
     }
 }
--- a/crates/gateway/src/quarantine/observers.rs
+++ b/crates/gateway/src/quarantine/observers.rs
@@ -1,17 +1,18 @@
-//! Which routers of a large fleet are told of all ends of servers.
+//! Selects the routers of a large fleet that are informed of every crash.
 
 use std::collections::HashSet;
 
 use swiftlink_types::{DomainName, VmName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Routers that are told of each end: one may be down and another cut off.
+/// Routers that receive each crash. One of them may be down and another one partitioned.
 pub const OBSERVERS: usize = 3;
-/// Routers that are asked until so many have taken it: members that are gone stay listed.
-const CANDIDATES: usize = 12;
+/// Routers that are tried until enough have received a crash. Members that are gone stay listed for
+/// a while.
+const MAX_CANDIDATES: usize = 12;
 
-/// The order in which routers are told, the same at all that know the same members: one of each
-/// failure domain first.
+/// Order in which routers are informed. It is the same on all routers with the same member list,
+/// and starts with one router of each failure domain.
 #[must_use]
 pub fn ranking(mut members: Vec<(VmName, DomainName)>) -> Vec<VmName> {
     members.sort_by_cached_key(|(vm, _)| xxh3_64(vm.as_str().as_bytes()));
@@ -20,5 +21,5 @@
         .into_iter()
         .partition(|(_, domain)| domains.insert(domain.clone()));
     let ranked = first.into_iter().chain(rest).map(|(vm, _)| vm);
-    ranked.take(CANDIDATES).collect()
+    ranked.take(MAX_CANDIDATES).collect()
 }
--- a/crates/gateway/src/rollout/lead.rs
+++ b/crates/gateway/src/rollout/coordinator.rs
@@ -1,44 +1,45 @@
-//! What a router does that leads a roll-out.
+//! Coordination of a rollout: decides on the stages and records them on the store.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use prost::Message;
-use swiftlink_rollout::{Order, Progress, Situation, Stage, Step, judge, next};
+use swiftlink_rollout::{Order, Progress, RolloutState, Stage, Step, compare_versions, next_step};
 use swiftlink_telemetry::event;
 use swiftlink_types::{PoolName, WallMs};
 use swiftlink_wire::rights::Rollout;
 use tokio::time::Instant;
 
-use super::message::record;
+use super::codec::{decode_progress, encode_progress};
 use crate::catalog::Catalog;
 use crate::fleet::Pool;
 use crate::node::Node;
 use crate::store::{ANSWER_TIME, Feed, Store, StoreError};
 
-/// Time that the first leader has to take a step before the second one does.
-const TURN: Duration = Duration::from_millis(400);
-/// Reports that count when the versions before are let go: a process that was silent for so long
-/// has ended or is cut off.
-const RECENT: Duration = Duration::from_secs(2);
+/// Delay per rank before a coordinator takes a pending step, so that the first one takes it if it
+/// is alive.
+const TURN_DELAY: Duration = Duration::from_millis(400);
+/// Maximum age of the reports that count when old versions are retired. A process that is silent
+/// for longer has terminated or is partitioned.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
 
-/// One order, as a leader follows it.
+/// State of one order on a coordinator.
 #[derive(Debug, Default)]
-pub(super) struct Lead {
+pub(super) struct Coordinator {
     order: Option<Order>,
-    /// When it was first seen here.
-    seen: Option<Instant>,
-    /// The stage, and since when it is known here.
+    /// When the order was first seen on this router.
+    first_seen: Option<Instant>,
+    /// Current stage, and when this router learned of it.
     stage: Option<(Stage, Instant)>,
-    /// The step that is due, and since when.
-    due: Option<(Step, Instant)>,
-    /// Stage that operators were told of.
-    told: Option<Stage>,
+    /// Pending step, and since when it is pending.
+    pending: Option<(Step, Instant)>,
+    /// Stage last published to operators.
+    published: Option<Stage>,
 }
 
-impl Lead {
-    /// Takes the step that is due, if there is one.
-    pub(super) async fn step(
+impl Coordinator {
+    /// Takes the pending step, if there is one.
+    pub(super) async fn take_step(
         &mut self,
         node: &Node,
         pool: &Pool,
@@ -46,7 +47,7 @@
         catalog: &dyn Catalog,
         rank: usize,
     ) {
-        let Some((order, stage, progress)) = pool.lane.order() else {
+        let Some((order, stage, progress)) = pool.rollout.order() else {
             return;
         };
         if self.order.as_ref() != Some(&order) {
@@ -57,39 +58,41 @@
                 "rollout.ordered",
                 pool = order.pool,
                 version = order.version,
-                secs = order.time.as_secs_f32(),
+                secs = order.time_limit.as_secs_f32(),
                 order = order.number,
             );
         }
-        let seen = *self.seen.get_or_insert_with(Instant::now);
+        let first_seen = *self.first_seen.get_or_insert_with(Instant::now);
         if self.stage.is_none_or(|(known, _)| known != stage) {
             self.stage = Some((stage, Instant::now()));
             node.reports
-                .with(&order.pool, order.number, |evidence, _| evidence.mark());
+                .with(&order.pool, order.number, |aggregate, _| {
+                    aggregate.begin_stage()
+                });
         }
         let wall = node.books.clock().read().wall;
         let started = progress.map_or(wall, |progress| progress.started);
-        let situation = self.situation(
+        let rollout_state = self.rollout_state(
             node,
             pool,
             &order,
             stage,
-            seen,
+            first_seen,
             wall.saturating_sub(started),
         );
-        let step = next(&order, &situation);
-        if step == Step::Stay {
-            self.due = None;
+        let step = next_step(&order, &rollout_state);
+        if step == Step::Wait {
+            self.pending = None;
         } else if self.is_turn(&step, rank) {
             let reason = match &step {
                 Step::Revert(reason) => reason.as_str(),
-                Step::Stay | Step::Go(_) => "-",
+                Step::Wait | Step::Advance(_) => "-",
             };
             let progress = Progress {
                 order: order.number,
                 version: order.version.clone(),
                 stage: match step {
-                    Step::Go(stage) => stage,
+                    Step::Advance(stage) => stage,
                     _ => Stage::Reverted,
                 },
                 started,
@@ -97,51 +100,56 @@
             self.advance(node, store, &order.pool, &progress, reason)
                 .await;
         }
-        self.tell(store, catalog, &order, pool).await;
+        self.publish_status(store, catalog, &order, pool).await;
     }
 
-    fn situation(
+    fn rollout_state(
         &self,
         node: &Node,
         pool: &Pool,
         order: &Order,
         stage: Stage,
-        seen: Instant,
-        by_clock: WallMs,
-    ) -> Situation {
-        // Another leader may have seen it earlier; clocks may differ, but not by more than it takes.
-        let by_clock = Duration::from_millis(by_clock).min(order.time);
-        let (new_servers, old_servers) = pool.count(&order.version);
-        let since = self.stage.map_or(seen, |(_, since)| since);
-        let (finding, is_moved) = node
-            .reports
-            .with(&order.pool, order.number, |evidence, now| {
-                let finding = judge(&evidence.sums()).or_else(|| judge(&evidence.fresh()));
-                (finding, evidence.is_moved(Stage::Shift, now, RECENT))
-            });
-        Situation {
+        first_seen: Instant,
+        clock_elapsed: WallMs,
+    ) -> RolloutState {
+        // Another coordinator may have seen the order earlier. Clocks may differ, so the time by
+        // the clock is capped at the order's time limit.
+        let clock_elapsed = Duration::from_millis(clock_elapsed).min(order.time_limit);
+        let (new_servers, old_servers) = pool.count_servers(&order.version);
+        let since = self.stage.map_or(first_seen, |(_, since)| since);
+        let (regression, is_old_idle) =
+            node.reports
+                .with(&order.pool, order.number, |aggregate, now| {
+                    let regression = compare_versions(&aggregate.totals())
+                        .or_else(|| compare_versions(&aggregate.stage_totals()));
+                    (
+                        regression,
+                        aggregate.is_old_idle(Stage::Shift, now, MAX_REPORT_AGE),
+                    )
+                });
+        RolloutState {
             stage,
-            elapsed: seen.elapsed().max(by_clock),
-            in_stage: since.elapsed(),
+            elapsed: first_seen.elapsed().max(clock_elapsed),
+            stage_age: since.elapsed(),
             new_servers,
             old_servers,
-            is_moved,
-            finding,
+            is_old_idle,
+            regression,
         }
     }
 
-    /// Whether this router takes the step now.
+    /// Whether it is this router's turn to take the step.
     fn is_turn(&mut self, step: &Step, rank: usize) -> bool {
         let kind = std::mem::discriminant(step);
-        let since = match &self.due {
-            Some((due, since)) if std::mem::discriminant(due) == kind => *since,
+        let since = match &self.pending {
+            Some((pending, since)) if std::mem::discriminant(pending) == kind => *since,
             _ => Instant::now(),
         };
-        self.due = Some((step.clone(), since));
-        since.elapsed() >= TURN * rank as u32
+        self.pending = Some((step.clone(), since));
+        since.elapsed() >= TURN_DELAY * rank as u32
     }
 
-    /// Writes how far the order has come, unless the store knows more.
+    /// Records the progress of the order, unless the store has a later stage.
     async fn advance(
         &mut self,
         node: &Node,
@@ -150,7 +158,7 @@
         progress: &Progress,
         reason: &str,
     ) {
-        match write(store, pool, progress).await {
+        match write_progress(store, pool, progress).await {
             Ok(true) => {
                 event!(
                     info,
@@ -162,26 +170,32 @@
                     reason = reason,
                 );
                 node.pools.set_progress(pool, progress);
-                self.due = None;
+                self.pending = None;
             }
-            // The feed tells what it knows.
+            // The feed delivers the later stage.
             Ok(false) => {}
             Err(error) => event!(warn, "rollout.not_written", pool = pool, error = error),
         }
     }
 
-    /// Tells operators of a stage that they don't know of.
-    async fn tell(&mut self, store: &dyn Store, catalog: &dyn Catalog, order: &Order, pool: &Pool) {
-        let Some((now, stage, _)) = pool.lane.order() else {
+    /// Publishes a new stage to operators.
+    async fn publish_status(
+        &mut self,
+        store: &dyn Store,
+        catalog: &dyn Catalog,
+        order: &Order,
+        pool: &Pool,
+    ) {
+        let Some((now, stage, _)) = pool.rollout.order() else {
             return;
         };
-        if now != *order || stage == Stage::Ordered || self.told == Some(stage) {
+        if now != *order || stage == Stage::Ordered || self.published == Some(stage) {
             return;
         }
         let status = catalog.rollout_status(&order.pool, &order.version, stage);
         let at = (order.number, stage);
         match write_status(store, &order.pool, at, status).await {
-            Ok(()) => self.told = Some(stage),
+            Ok(()) => self.published = Some(stage),
             Err(error) => {
                 event!(
                     warn,
@@ -194,31 +208,32 @@
     }
 }
 
-/// Appends a stage if the store's newest one of the pool is before it: nobody can have written
-/// since it was read. Says whether it did.
-async fn write(
+/// Appends a stage if the pool's latest stage on the store precedes it. The append is conditional
+/// on the end of the feed, so that no record is written in between. Returns whether it was
+/// appended.
+async fn write_progress(
     store: &dyn Store,
     pool: &PoolName,
     progress: &Progress,
 ) -> Result<bool, StoreError> {
-    let (end, known) = newest(store, pool).await?;
+    let (end, known) = latest(store, pool).await?;
     if let Some(known) = known {
         if (known.order, known.stage) >= (progress.order, progress.stage) {
             return Ok(false);
         }
-        // A verdict stays.
+        // A final stage is never overwritten.
         if known.order == progress.order && known.stage.is_final() {
             return Ok(false);
         }
     }
-    let value = Bytes::from(record(progress).encode_to_vec());
+    let value = Bytes::from(encode_progress(progress).encode_to_vec());
     let records = [(pool.to_string(), value)];
     store.append_at(Feed::Rollouts, end, &records).await?;
     Ok(true)
 }
 
-/// The end of the roll-outs' feed, and how far the pool's newest one has come.
-async fn newest(store: &dyn Store, pool: &PoolName) -> Result<(u64, Option<Progress>), StoreError> {
+/// The end of the rollouts feed and the pool's latest progress in it.
+async fn latest(store: &dyn Store, pool: &PoolName) -> Result<(u64, Option<Progress>), StoreError> {
     let page = store.newest(Feed::Rollouts, ANSWER_TIME.into()).await?;
     let mut records = page.records.into_iter();
     let known = records.find(|record| record.key == pool.as_str());
@@ -227,11 +242,12 @@
     };
     let known = Rollout::decode(value);
     let known = known.map_err(|error| StoreError::Protocol(error.to_string()))?;
-    Ok((page.end, Some(super::message::progress(&known))))
+    Ok((page.end, Some(decode_progress(&known))))
 }
 
-/// Appends what operators read of a stage, unless it stands there or the store knows another stage:
-/// the end of the operators' feed is read before the stage, so a later stage's status conflicts.
+/// Appends the status of a stage for operators, unless it is already there or the store has another
+/// stage. The end of the operators' feed is read before the stage, so the append conflicts with the
+/// status of a later stage.
 async fn write_status(
     store: &dyn Store,
     pool: &PoolName,
@@ -239,7 +255,7 @@
     status: (String, Bytes),
 ) -> Result<(), StoreError> {
     let page = store.newest(Feed::Status, ANSWER_TIME.into()).await?;
-    let known = newest(store, pool).await?.1;
+    let known = latest(store, pool).await?.1;
     if known.is_some_and(|known| (known.order, known.stage) != at) {
         return Ok(());
     }
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -1,19 +1,19 @@
-//! Roll-outs of new versions of backend servers.
+//! Rollouts of new versions of backend servers.
 //!
-//! The operators' orders come with the configuration, how far they have come stands in a feed of
-//! the fleet's own that `progress` follows. A pool's [`Lane`] says what each of its servers takes and counts
-//! answers; `tell` hands the counts to the two routers that lead the pool's roll-outs, and `lead`
-//! is what these do. Decisions are made in [`swiftlink_rollout`].
+//! Orders of operators arrive with the configuration. Their progress is kept in a feed of its own,
+//! which `progress` follows. [`PoolRollout`] assigns requests to a pool's servers and counts
+//! responses. `reporter` sends the counts to the two routers that coordinate the pool's rollouts
+//! (`coordinator`). The decisions are made in [`swiftlink_rollout`].
 
-mod lane;
-mod lead;
-mod message;
+mod codec;
+mod coordinator;
+mod pool;
 mod progress;
+mod reporter;
 mod reports;
-mod tell;
 
-pub use lane::{Lane, Mark};
-pub(crate) use message::report as read_report;
+pub(crate) use codec::decode_report;
+pub use pool::{PoolRollout, ResponseKey};
 pub(crate) use progress::Follower;
+pub(crate) use reporter::run;
 pub use reports::Reports;
-pub(crate) use tell::run;
--- a/crates/gateway/src/rollout/progress.rs
+++ b/crates/gateway/src/rollout/progress.rs
@@ -1,4 +1,4 @@
-//! Follows how far roll-outs have come.
+//! Follows the progress of rollouts on the store.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
 use swiftlink_types::PoolName;
 use swiftlink_wire::rights::Rollout;
 
-use super::message::progress;
+use super::codec::decode_progress;
 use crate::node::Node;
 use crate::store::Feed;
 use crate::watch::{Follow, News};
 
-/// Takes news of the roll-outs' feed.
+/// Applies updates of the rollouts feed.
 #[derive(Debug)]
 pub(crate) struct Follower {
     node: Arc<Node>,
@@ -38,7 +38,7 @@
                     continue;
                 }
             };
-            let progress = progress(&record);
+            let progress = decode_progress(&record);
             let pool = PoolName::from(change.key.as_str());
             if !self.node.pools.set_progress(&pool, &progress) {
                 continue;
--- a/crates/gateway/src/rollout/reports.rs
+++ b/crates/gateway/src/rollout/reports.rs
@@ -1,72 +1,73 @@
-//! What other routers told this one of roll-outs that it may lead.
+//! Reports of other routers about rollouts that this router may coordinate.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use swiftlink_rollout::{Evidence, Report};
+use swiftlink_rollout::{Report, ReportAggregate};
 use swiftlink_types::PoolName;
 use tokio::time::Instant;
 
-/// Pools whose reports are kept; more aren't told by a fleet whose configuration this router knows.
-const POOLS: usize = 256;
+/// Maximum number of pools whose reports are kept. Routers of a fleet whose configuration this
+/// router knows report on fewer.
+const MAX_POOLS: usize = 256;
 
-/// The evidence of each pool's newest order.
+/// Aggregated reports on the latest order of each pool.
 #[derive(Debug)]
 pub struct Reports {
-    start: Instant,
-    pools: Mutex<HashMap<PoolName, (u64, Evidence)>>,
+    epoch: Instant,
+    pools: Mutex<HashMap<PoolName, (u64, ReportAggregate)>>,
 }
 
 impl Default for Reports {
     fn default() -> Self {
         Self {
-            start: Instant::now(),
+            epoch: Instant::now(),
             pools: Mutex::default(),
         }
     }
 }
 
 impl Reports {
-    /// Takes what a process reports of an order.
-    pub fn take(&self, pool: &PoolName, order: u64, process: u64, report: Report) {
+    /// Records a process's report on an order.
+    pub fn insert(&self, pool: &PoolName, order: u64, process: u64, report: Report) {
         let now = self.now();
         let mut pools = self.pools();
-        if !pools.contains_key(pool) && pools.len() >= POOLS {
+        if !pools.contains_key(pool) && pools.len() >= MAX_POOLS {
             return;
         }
-        let (known, evidence) = pools.entry(pool.clone()).or_default();
+        let (known, aggregate) = pools.entry(pool.clone()).or_default();
         if *known > order {
             return;
         }
         if *known < order {
-            (*known, *evidence) = (order, Evidence::default());
+            (*known, *aggregate) = (order, ReportAggregate::default());
         }
-        evidence.take(process, report, now);
+        aggregate.insert(process, report, now);
     }
 
-    /// Looks at the evidence of an order.
+    /// Gives access to the aggregated reports on an order.
     pub(super) fn with<T>(
         &self,
         pool: &PoolName,
         order: u64,
-        look: impl FnOnce(&mut Evidence, Duration) -> T,
+        access: impl FnOnce(&mut ReportAggregate, Duration) -> T,
     ) -> T {
         let now = self.now();
         let mut pools = self.pools();
-        let (known, evidence) = pools.entry(pool.clone()).or_default();
+        let (known, aggregate) = pools.entry(pool.clone()).or_default();
         if *known != order {
-            (*known, *evidence) = (order, Evidence::default());
+            (*known, *aggregate) = (order, ReportAggregate::default());
         }
-        look(evidence, now)
+        access(aggregate, now)
     }
 
     fn now(&self) -> Duration {
-        self.start.elapsed()
+        self.epoch.elapsed()
     }
 
-    fn pools(&self) -> MutexGuard<'_, HashMap<PoolName, (u64, Evidence)>> {
-        // The map is whole between any two calls.
+    fn pools(&self) -> MutexGuard<'_, HashMap<PoolName, (u64, ReportAggregate)>> {
+        // The map is consistent between calls, so a poisoned lock can be used.
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/gateway/tests/testsuite/emptied.rs
+++ b/crates/gateway/tests/testsuite/emptied.rs
@@ -1,5 +1,5 @@
-//! Failure domains that operators empty and take back: what a router knows of them, whatever the
-//! store and other routers tell it in whatever order, and what it does with that.
+//! Tests of failure domains that operators drain and restore: the state that a router knows, in
+//! whatever order the store and other routers deliver it, and what it does with that state.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -25,36 +25,36 @@
 /// Failure domains of a history.
 const DOMAINS: usize = 3;
 
-/// What happens to the feed and to those who read it.
+/// Events of the feed and of its readers.
 #[derive(Clone, Debug)]
 enum Event {
-    Empty(usize),
-    TakeBack(usize),
+    Drain(usize),
+    Restore(usize),
     /// A record about something else.
     Other,
-    /// The store forgets all but the newest records.
+    /// The store keeps only the newest records.
     Compact,
-    /// Reads answer with the state of now, until they don't any more.
+    /// While set, reads return the state of the time it was set.
     Rewind(bool),
     Poll,
-    /// Another router tells what it knew at a time, from there on, in this part.
-    Tell {
+    /// Another router sends a page of what it knew at some time, from an offset on.
+    Receive {
         at: usize,
         from: usize,
-        most: usize,
+        limit: usize,
     },
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        3 => (0..DOMAINS).prop_map(Event::Empty),
-        3 => (0..DOMAINS).prop_map(Event::TakeBack),
+        3 => (0..DOMAINS).prop_map(Event::Drain),
+        3 => (0..DOMAINS).prop_map(Event::Restore),
         2 => Just(Event::Other),
         2 => Just(Event::Compact),
         1 => any::<bool>().prop_map(Event::Rewind),
         4 => Just(Event::Poll),
         4 => (0..60usize, 0..60usize, 1..8usize)
-            .prop_map(|(at, from, most)| Event::Tell { at, from, most }),
+            .prop_map(|(at, from, limit)| Event::Receive { at, from, limit }),
     ]
 }
 
@@ -62,14 +62,14 @@
     format!("empty/{domain}")
 }
 
-/// The feed's whole history, which only grows, and a reader of it.
+/// The complete history of the feed, and a reader of it.
 struct History {
     store: Arc<MemStore>,
     all: Vec<Record>,
     reader: Reader,
-    emptied: Emptied,
-    /// Per key, the newest place of the history that the reader was told of.
-    told: HashMap<String, u64>,
+    drained: Emptied,
+    /// By key, the latest point of the history that the reader received.
+    received: HashMap<String, u64>,
 }
 
 impl History {
@@ -80,8 +80,8 @@
             store,
             all: Vec::new(),
             reader,
-            emptied: Emptied::default(),
-            told: HashMap::new(),
+            drained: Emptied::default(),
+            received: HashMap::new(),
         }
     }
 
@@ -95,19 +95,19 @@
         });
     }
 
-    /// The newest record of `key` before a place of the history.
+    /// The latest record of `key` before a point of the history.
     fn newest(&self, key: &str, end: u64) -> Option<&Record> {
         let before = &self.all[..end as usize];
         before.iter().rev().find(|record| record.key == key)
     }
 
-    fn take(&mut self, news: &News) {
+    fn apply_update(&mut self, news: &News) {
         if let Some(keys) = &news.keys {
-            self.emptied.retain(keys);
+            self.drained.retain(keys);
             for domain in 0..DOMAINS {
                 if !keys.contains(&key(domain)) {
-                    let told = self.told.entry(key(domain)).or_default();
-                    *told = (*told).max(news.end);
+                    let received = self.received.entry(key(domain)).or_default();
+                    *received = (*received).max(news.end);
                 }
             }
         }
@@ -115,38 +115,38 @@
             if change.key == "other" {
                 continue;
             }
-            let told = self.told.entry(change.key.clone()).or_default();
-            *told = (*told).max(change.offset + 1);
-            let change_of = DomainChange {
+            let received = self.received.entry(change.key.clone()).or_default();
+            *received = (*received).max(change.offset + 1);
+            let domain_change = DomainChange {
                 domain: DomainName::from(change.key.as_str()),
                 is_emptied: change.value.is_some(),
             };
-            self.emptied.take(&change.key, &change_of);
+            self.drained.take(&change.key, &domain_change);
         }
     }
 
-    async fn play(&mut self, event: &Event) {
+    async fn apply_event(&mut self, event: &Event) {
         match event {
-            Event::Empty(domain) => self.write(&key(*domain), Some("{}")),
-            Event::TakeBack(domain) => self.write(&key(*domain), None),
+            Event::Drain(domain) => self.write(&key(*domain), Some("{}")),
+            Event::Restore(domain) => self.write(&key(*domain), None),
             Event::Other => self.write("other", Some("x")),
             Event::Compact => self.store.compact(Feed::Config),
             Event::Rewind(true) => self.store.set_fault(StoreFault::Stale),
             Event::Rewind(false) => self.store.set_fault(StoreFault::None),
             Event::Poll => {
                 let news = self.reader.poll(Duration::ZERO).await.expect("news");
-                self.take(&news);
+                self.apply_update(&news);
             }
-            Event::Tell { at, from, most } => {
-                let told = self.copy(*at, *from, *most);
-                let news = self.reader.take_told(told, Instant::now());
-                self.take(&news);
+            Event::Receive { at, from, limit } => {
+                let received = self.page_at(*at, *from, *limit);
+                let news = self.reader.take_told(received, Instant::now());
+                self.apply_update(&news);
             }
         }
     }
 
-    /// The newest record of each key as somebody knew them, from an offset on.
-    fn copy(&self, at: usize, from: usize, most: usize) -> Told {
+    /// The latest record of each key as of a point of the history, from an offset on.
+    fn page_at(&self, at: usize, from: usize, limit: usize) -> Told {
         let known = &self.all[..at.min(self.all.len())];
         let mut newest: BTreeMap<&str, &Record> = BTreeMap::new();
         for record in known {
@@ -155,30 +155,29 @@
         let mut records: Vec<Record> = newest.into_values().cloned().collect();
         records.retain(|record| record.offset >= from as u64);
         records.sort_by_key(|record| record.offset);
-        records.truncate(most);
+        records.truncate(limit);
         Told { records, age: None }
     }
 
-    /// What is known of each domain is the state that a record made which is no older than any
-    /// that was told of it.
+    /// Checks that the known state of each domain comes from a record no older than any that was
+    /// received for it.
     fn check(&self) {
         for domain in 0..DOMAINS {
             let key = key(domain);
-            let told = self.told.get(&key).copied().unwrap_or(0);
-            let known = self.emptied.domains().contains(key.as_str());
+            let received = self.received.get(&key).copied().unwrap_or(0);
+            let known = self.drained.domains().contains(key.as_str());
             let expected = self
-                .newest(&key, told)
+                .newest(&key, received)
                 .is_some_and(|record| record.value.is_some());
-            assert_eq!(known, expected, "{key} as of {told}");
+            assert_eq!(known, expected, "{key} as of {received}");
         }
     }
 }
 
 proptest! {
-    /// Removals that were missed, lost histories, answers of an older state and tales of others that
-    /// know less, in any order.
+    /// Missed removals, lost histories, stale reads and peers that know less, in any order.
     #[test]
-    fn no_older_state_of_a_domain_ever_comes_back(events in vec(event(), 1..60)) {
+    fn domain_state_never_goes_back(events in vec(event(), 1..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -186,48 +185,49 @@
         runtime.block_on(async {
             let mut history = History::new();
             for event in &events {
-                history.play(event).await;
+                history.apply_event(event).await;
                 history.check();
             }
-            // Once the store answers as it is, all of it is known.
+            // Once the store returns its current state, all of it is known.
             history.store.set_fault(StoreFault::None);
             history.store.compact(Feed::Config);
             for _ in 0..2 {
-                history.play(&Event::Poll).await;
+                history.apply_event(&Event::Poll).await;
             }
             for domain in 0..DOMAINS {
                 let key = key(domain);
                 let end = history.all.len() as u64;
                 let last = history.newest(&key, end);
-                let is_emptied = last.is_some_and(|record| record.value.is_some());
-                assert_eq!(history.emptied.domains().contains(key.as_str()), is_emptied);
+                let is_drained = last.is_some_and(|record| record.value.is_some());
+                assert_eq!(history.drained.domains().contains(key.as_str()), is_drained);
             }
         });
     }
 }
 
-/// A record that was told late, of a domain whose removal was only seen by its key being gone.
+/// A late record about a domain whose removal was only noticed since its key was gone.
 #[tokio::test]
-async fn a_domain_that_was_taken_back_unseen_stays_open() {
+async fn domain_restored_between_polls_stays_open() {
     let mut history = History::new();
     history.write(&key(0), Some("{}"));
-    history.play(&Event::Poll).await;
+    history.apply_event(&Event::Poll).await;
     history.write(&key(0), None);
     history.write("other", Some("x"));
     history.store.compact(Feed::Config);
-    history.play(&Event::Poll).await;
+    history.apply_event(&Event::Poll).await;
     history.check();
-    let tell = Event::Tell {
+    let receive = Event::Receive {
         at: 1,
         from: 0,
-        most: 8,
+        limit: 8,
     };
-    history.play(&tell).await;
+    history.apply_event(&receive).await;
     history.check();
-    assert!(history.emptied.domains().is_empty());
+    assert!(history.drained.domains().is_empty());
 }
 
-/// A configuration as `config N`, failure domains under `empty/NAME`, servers as in [`Entries`].
+/// Configuration under `config`, drained failure domains under `empty/NAME`, servers as in
+/// [`Entries`].
 #[derive(Debug)]
 struct Documents;
 
@@ -274,7 +274,7 @@
     store.put(Feed::Config, key, value.map(Bytes::from));
 }
 
-fn emptied(node: &Node) -> Vec<String> {
+fn drained(node: &Node) -> Vec<String> {
     let mut names: Vec<String> = node
         .pools
         .domains()
@@ -286,53 +286,54 @@
     names
 }
 
-/// A bound of five seconds holds for each router that hears the store; half of one is left here.
-const HEARD: Duration = Duration::from_millis(1_300);
+/// A router that reaches the store must apply changes within five seconds; the tests allow about a
+/// quarter of that.
+const APPLY_TIME: Duration = Duration::from_millis(1_300);
 
 #[tokio::test(start_paused = true)]
-async fn a_router_follows_what_operators_do_with_domains() {
+async fn router_applies_drained_and_restored_domains() {
     let store = Arc::new(MemStore::new());
     let node = node(&["a", "b"]);
     let _tasks = follow_alone(&node, &store, Documents);
     put(&store, "config", Some("config"));
-    sleep(HEARD).await;
-    assert!(emptied(&node).is_empty());
+    sleep(APPLY_TIME).await;
+    assert!(drained(&node).is_empty());
     put(&store, "empty/a", Some("{}"));
-    sleep(HEARD).await;
-    assert_eq!(emptied(&node), ["a"]);
+    sleep(APPLY_TIME).await;
+    assert_eq!(drained(&node), ["a"]);
     put(&store, "empty/b", Some("{}"));
     put(&store, "empty/a", None);
-    sleep(HEARD).await;
-    assert_eq!(emptied(&node), ["b"]);
+    sleep(APPLY_TIME).await;
+    assert_eq!(drained(&node), ["b"]);
     store.compact(Feed::Config);
     put(&store, "empty/b", None);
     store.compact(Feed::Config);
-    sleep(HEARD).await;
-    assert!(emptied(&node).is_empty());
+    sleep(APPLY_TIME).await;
+    assert!(drained(&node).is_empty());
 }
 
-/// One line and one count for each, and nothing else changes.
+/// Unreadable records are logged and counted once each, and change nothing else.
 #[tokio::test(start_paused = true)]
-async fn what_is_no_domain_or_no_record_changes_nothing() {
+async fn unknown_domains_and_unreadable_records_change_nothing() {
     let store = Arc::new(MemStore::new());
     let node = node(&["a", "b"]);
     let _tasks = follow_alone(&node, &store, Documents);
     put(&store, "config", Some("config"));
     put(&store, "empty/a", Some("{}"));
-    sleep(HEARD).await;
+    sleep(APPLY_TIME).await;
     put(&store, "empty/a", Some("garbage"));
     put(&store, "empty/b", Some("garbage"));
     put(&store, "empty/elsewhere", Some("{}"));
-    sleep(HEARD).await;
-    assert_eq!(emptied(&node), ["a"]);
+    sleep(APPLY_TIME).await;
+    assert_eq!(drained(&node), ["a"]);
     let text = node.metrics.render(&node);
     let counted = "swiftlink_unreadable_records_total{feed=\"config\"} 3";
     assert!(text.contains(counted), "{text}");
 }
 
-/// A router that starts may be told the configuration before it hears of emptied domains.
+/// A router that starts may receive the configuration before it knows which domains are drained.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_knows_a_part_only_is_not_ready() {
+async fn router_with_partial_configuration_is_not_ready() {
     let node = node(&[]);
     node.config.store(Some(Arc::new(crate::pools::config())));
     assert!(!node.knows_config());
@@ -340,34 +341,34 @@
     assert!(node.knows_config());
 }
 
-/// Whoever wakes knows what was true before it fell asleep.
+/// A process that was suspended only knows the state from before.
 #[tokio::test(start_paused = true)]
-async fn a_request_after_a_standstill_waits_for_news_and_others_dont() {
-    let most = Duration::from_millis(60);
-    let fresh = Arc::new(Freshness::new(TestClock::new()));
-    fresh.look();
+async fn only_requests_after_a_suspension_wait_for_an_update() {
+    let limit = Duration::from_millis(60);
+    let freshness = Arc::new(Freshness::new(TestClock::new()));
+    freshness.look();
     let before = Instant::now();
-    fresh.after_standstill(most).await;
+    freshness.after_standstill(limit).await;
     assert_eq!(before.elapsed(), Duration::ZERO);
     advance(Duration::from_secs(8)).await;
-    let looked = Arc::clone(&fresh);
-    let look = tokio::spawn(async move {
+    let poller = Arc::clone(&freshness);
+    let poll = tokio::spawn(async move {
         sleep(Duration::from_millis(10)).await;
-        looked.look();
+        poller.look();
     });
     let before = Instant::now();
-    fresh.after_standstill(most).await;
+    freshness.after_standstill(limit).await;
     assert_eq!(before.elapsed(), Duration::from_millis(10));
-    look.await.expect("a look");
+    poll.await.expect("the poll");
     advance(Duration::from_secs(8)).await;
     let before = Instant::now();
-    fresh.after_standstill(most).await;
-    assert_eq!(before.elapsed(), most, "nobody waits for what doesn't come");
+    freshness.after_standstill(limit).await;
+    assert_eq!(before.elapsed(), limit, "waits no longer than the limit");
 }
 
-/// Servers that are listed later are in the domain as it is.
+/// Servers listed later share the current state of their domain.
 #[test]
-fn a_domain_is_the_same_for_all_who_send_into_it() {
+fn domain_state_is_shared_by_all_senders() {
     let domains = Domains::default();
     let early = domains.get(&DomainName::from("a"));
     domains.set_emptied(HashSet::from([
@@ -381,24 +382,27 @@
 }
 
 #[test]
-fn homes_of_route_and_workspace_both_bind() {
+fn allowed_regions_of_route_and_workspace_both_apply() {
     let regions: HashMap<DomainName, RegionName> = [("a", "x"), ("b", "x"), ("c", "y")]
         .into_iter()
         .map(|(domain, region)| (domain.into(), region.into()))
         .collect();
-    let home = |route: &[&str], workspace: &[&str]| {
-        let names = |homes: &[&str]| -> Vec<RegionName> {
-            homes.iter().map(|home| RegionName::from(*home)).collect()
+    let domains_of = |route: &[&str], workspace: &[&str]| {
+        let names = |regions: &[&str]| -> Vec<RegionName> {
+            regions
+                .iter()
+                .map(|region| RegionName::from(*region))
+                .collect()
         };
         let domains = at_home(&names(route), &names(workspace), &regions)?;
         let mut names: Vec<String> = domains.iter().map(ToString::to_string).collect();
         names.sort();
         Some(names.concat())
     };
-    assert_eq!(home(&[], &[]), None);
-    assert_eq!(home(&["x"], &[]).as_deref(), Some("ab"));
-    assert_eq!(home(&[], &["y"]).as_deref(), Some("c"));
-    assert_eq!(home(&["x", "y"], &["y"]).as_deref(), Some("c"));
-    assert_eq!(home(&["x"], &["y"]).as_deref(), Some(""));
-    assert_eq!(home(&["z"], &[]).as_deref(), Some(""));
+    assert_eq!(domains_of(&[], &[]), None);
+    assert_eq!(domains_of(&["x"], &[]).as_deref(), Some("ab"));
+    assert_eq!(domains_of(&[], &["y"]).as_deref(), Some("c"));
+    assert_eq!(domains_of(&["x", "y"], &["y"]).as_deref(), Some("c"));
+    assert_eq!(domains_of(&["x"], &["y"]).as_deref(), Some(""));
+    assert_eq!(domains_of(&["z"], &[]).as_deref(), Some(""));
 }
--- a/crates/gateway/tests/testsuite/pools.rs
+++ b/crates/gateway/tests/testsuite/pools.rs
@@ -1,4 +1,4 @@
-//! Pools and their servers.
+//! Tests of pools and their servers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use swiftlink_gateway::fleet::Pools;
 use swiftlink_gateway::model::{Config, PoolSpec};
 use swiftlink_gateway::{RetryTerms, RouterSettings};
-use swiftlink_types::{DomainName, PoolName, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName, VmName};
 
 use crate::book;
 
@@ -44,8 +44,8 @@
     let mut config = book::config(None);
     let pool = PoolSpec {
         name: PoolName::from("pool"),
-        stride: None,
-        pause: None,
+        max_event_tokens: None,
+        max_gap: None,
         warmup: None,
     };
     config.pools.insert(pool.name.clone(), Arc::new(pool));
@@ -54,7 +54,7 @@
 
 fn servers() -> HashMap<ServerName, ServerEntry> {
     let entry = ServerEntry {
-        start: Start::from(ServerName::from("s")),
+        instance: ServerInstance::from(ServerName::from("s")),
         pool: PoolName::from("pool"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         domain: DomainName::from("a"),
@@ -63,29 +63,29 @@
         draining: false,
         warmup: Duration::ZERO,
     };
-    HashMap::from([(entry.start.name.clone(), entry)])
+    HashMap::from([(entry.instance.name.clone(), entry)])
 }
 
-/// The configuration and the servers come from two feeds, which two threads follow. A pool
-/// that was declared while its servers were read once stayed without them.
+/// The configuration and the servers come from two feeds that two threads follow. Guards against a
+/// pool that stays without servers, since it was configured while its servers were being read.
 #[test]
-fn a_pool_has_its_servers_however_both_come_in() {
+fn pool_has_its_servers_in_any_order_of_updates() {
     for _round in 0..3_000 {
         let pools = Pools::new();
         let (settings, config) = (settings(), config());
-        let start = Barrier::new(2);
+        let barrier = Barrier::new(2);
         std::thread::scope(|scope| {
             scope.spawn(|| {
-                start.wait();
+                barrier.wait();
                 pools.set_config(&config, &settings);
             });
             scope.spawn(|| {
                 let servers = servers();
-                start.wait();
+                barrier.wait();
                 pools.set_servers(servers);
             });
         });
         let pool = pools.get(&PoolName::from("pool")).expect("a pool");
-        assert_eq!(pool.open(), 1);
+        assert_eq!(pool.open_len(), 1);
     }
 }
--- a/crates/gateway/tests/testsuite/quarantine.rs
+++ b/crates/gateway/tests/testsuite/quarantine.rs
@@ -1,7 +1,7 @@
-//! Which requests are held, by the ends of servers that worked on them.
+//! Tests which requests are held after crashes of servers that ran them.
 //!
-//! The load: one request ends each server that begins to run it and comes back a few times a second,
-//! among hundreds of others that share its servers; and loads in which servers end for other reasons.
+//! One request crashes each server that runs it and is retried a few times a second, among hundreds
+//! of others on the same servers. Other tests crash servers for other reasons.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
@@ -10,16 +10,17 @@
 use proptest::prelude::*;
 use swiftlink_gateway::fingerprint::{Content, Fingerprint};
 use swiftlink_gateway::quarantine::{
-    Cases, Cleared, ENDS, ENDS_MAX, HELD_MAX, HOLD, ONE_MOMENT, PRINTS_MAX, ServerEnd, Verdict,
+    CRASHES_TO_HOLD, Clearance, CrashHistory, HoldChanges, INITIAL_HOLD, MAX_CRASHES,
+    MAX_FINGERPRINTS, MAX_HELD, SIMULTANEOUS_WINDOW, ServerCrash,
 };
-use swiftlink_types::{ServerName, Start, VmName};
+use swiftlink_types::{ServerInstance, ServerName, VmName};
 
-/// Sends that are allowed after as many ends as show what a request does.
-const MORE: usize = 3;
-/// A second in the unit of [`Cases`].
+/// Attempts allowed beyond the crashes after which a request is held.
+const MAX_EXTRA_ATTEMPTS: usize = 3;
+/// One second in the unit of [`CrashHistory`].
 const SECOND: u64 = 1_000;
 
-pub(crate) fn print(number: u32) -> Fingerprint {
+pub(crate) fn fingerprint(number: u32) -> Fingerprint {
     Fingerprint::of(&Content {
         workspace: None,
         method: Method::POST,
@@ -29,258 +30,321 @@
     })
 }
 
-/// The end of server `number` at `at`, as `vm` saw it.
-fn end(number: u32, at: u64, prints: &[u32], vm: &str) -> ServerEnd {
-    ServerEnd {
-        start: Start::from(ServerName::from(format!("i-{number}").as_str())),
+/// The crash of server `number` at `at`, as seen by `vm`.
+fn crash(number: u32, at: u64, fingerprints: &[u32], vm: &str) -> ServerCrash {
+    ServerCrash {
+        instance: ServerInstance::from(ServerName::from(format!("i-{number}").as_str())),
         at,
-        prints: prints.iter().map(|number| print(*number)).collect(),
+        fingerprints: fingerprints
+            .iter()
+            .map(|number| fingerprint(*number))
+            .collect(),
         seen_by: BTreeSet::from([VmName::from(vm)]),
     }
 }
 
-/// Takes ends one after the other, and gives what is held by them.
-fn take(cases: &mut Cases, ends: &[ServerEnd]) -> Vec<Fingerprint> {
-    let held = ends.iter().flat_map(|end| cases.on_end(end.at, end).held);
-    held.map(|held| held.print).collect()
+/// Adds crashes one after the other. Returns the requests that are held.
+fn add_crashes(history: &mut CrashHistory, crashes: &[ServerCrash]) -> Vec<Fingerprint> {
+    let held = crashes
+        .iter()
+        .flat_map(|crash| history.on_crash(crash.at, crash).held);
+    held.map(|held| held.fingerprint).collect()
 }
 
 #[test]
-fn the_request_that_three_ends_have_in_common_is_held_and_its_neighbours_are_not() {
-    let mut cases = Cases::default();
-    let ends = [
-        end(1, 1_000, &[7, 1, 2, 3], "vm-1"),
-        end(2, 2_000, &[7, 1, 4, 5], "vm-2"),
-        end(3, 3_000, &[7, 2, 6, 8], "vm-3"),
+fn only_the_request_common_to_three_crashes_is_held() {
+    let mut history = CrashHistory::default();
+    let crashes = [
+        crash(1, 1_000, &[7, 1, 2, 3], "vm-1"),
+        crash(2, 2_000, &[7, 1, 4, 5], "vm-2"),
+        crash(3, 3_000, &[7, 2, 6, 8], "vm-3"),
     ];
-    assert_eq!(take(&mut cases, &ends), [print(7)]);
-    assert_eq!(cases.rest(&print(7), 3_000), Some(HOLD));
-    assert_eq!(cases.rest(&print(1), 3_000), None);
+    assert_eq!(add_crashes(&mut history, &crashes), [fingerprint(7)]);
+    assert_eq!(
+        history.remaining_hold(&fingerprint(7), 3_000),
+        Some(INITIAL_HOLD)
+    );
+    assert_eq!(history.remaining_hold(&fingerprint(1), 3_000), None);
 }
 
 #[test]
-fn what_several_routers_saw_of_one_end_counts_once_and_adds_up() {
-    let mut cases = Cases::default();
+fn reports_of_one_crash_are_merged() {
+    let mut history = CrashHistory::default();
     for at in [1_000, 2_000] {
         let number = (at / SECOND) as u32;
-        assert_eq!(take(&mut cases, &[end(number, at, &[7], "vm-1")]), []);
-        assert_eq!(take(&mut cases, &[end(number, at, &[7, 8], "vm-2")]), []);
+        assert_eq!(
+            add_crashes(&mut history, &[crash(number, at, &[7], "vm-1")]),
+            []
+        );
+        assert_eq!(
+            add_crashes(&mut history, &[crash(number, at, &[7, 8], "vm-2")]),
+            []
+        );
     }
-    // The one that sees the third is another one.
-    let held = cases.on_end(3_000, &end(3, 3_000, &[7], "vm-3")).held;
+    // The third crash is seen by another router.
+    let held = history.on_crash(3_000, &crash(3, 3_000, &[7], "vm-3")).held;
     assert_eq!(held.len(), 1);
     let seen: BTreeSet<VmName> = held[0]
-        .ends
+        .crashes
         .iter()
-        .flat_map(|end| end.seen_by.clone())
+        .flat_map(|crash| crash.seen_by.clone())
         .collect();
-    assert_eq!(seen.len(), 3, "the line says who saw it");
+    assert_eq!(seen.len(), 3, "reports of all routers are kept");
 }
 
-/// Callers whose requests were on a server that another one ended send them again, and meet the
-/// next server that ends.
+/// Callers retry requests that were on a server crashed by another request, and may meet the next
+/// crash.
 #[test]
-fn ends_that_a_held_request_explains_count_for_no_other_one() {
-    let mut cases = Cases::default();
-    let ends = [
-        end(1, 1_000, &[7, 1], "vm-1"),
-        end(2, 2_000, &[7, 1], "vm-1"),
-        end(3, 3_000, &[7, 2], "vm-1"),
-        // Sends of the held request that were under way, beside the innocent one.
-        end(4, 3_400, &[7, 1], "vm-2"),
-        end(5, 3_800, &[7, 1, 2], "vm-3"),
-        end(6, 4_300, &[1], "vm-3"),
+fn crashes_explained_by_a_held_request_do_not_count_for_others() {
+    let mut history = CrashHistory::default();
+    let crashes = [
+        crash(1, 1_000, &[7, 1], "vm-1"),
+        crash(2, 2_000, &[7, 1], "vm-1"),
+        crash(3, 3_000, &[7, 2], "vm-1"),
+        // Attempts of the held request that had already started, next to the innocent one.
+        crash(4, 3_400, &[7, 1], "vm-2"),
+        crash(5, 3_800, &[7, 1, 2], "vm-3"),
+        crash(6, 4_300, &[1], "vm-3"),
     ];
-    assert_eq!(take(&mut cases, &ends), [print(7)]);
-    assert_eq!(cases.rest(&print(1), 5_000), None);
-    assert_eq!(cases.rest(&print(2), 5_000), None);
+    assert_eq!(add_crashes(&mut history, &crashes), [fingerprint(7)]);
+    assert_eq!(history.remaining_hold(&fingerprint(1), 5_000), None);
+    assert_eq!(history.remaining_hold(&fingerprint(2), 5_000), None);
 }
 
-/// Two deadly requests at a time, and an innocent one that met both before either had its third
-/// end. It was held, and what it had met was no longer put down to the others: one of them ended five
-/// servers.
+/// Two queries of death at a time, and an innocent request that is in crashes of both before either
+/// is in its third. Once it was held, its crashes no longer counted against the others, and one of
+/// them crashed five servers.
 #[test]
-fn an_innocent_request_that_was_held_first_neither_hides_the_cause_nor_stays_held() {
-    let mut cases = Cases::default();
-    let ends = [
-        end(1, 1_000, &[7, 1], "vm-1"),
-        end(2, 2_000, &[7, 1], "vm-2"),
-        end(3, 3_000, &[8, 1], "vm-3"),
+fn innocent_request_held_first_is_released_and_does_not_hide_the_cause() {
+    let mut history = CrashHistory::default();
+    let crashes = [
+        crash(1, 1_000, &[7, 1], "vm-1"),
+        crash(2, 2_000, &[7, 1], "vm-2"),
+        crash(3, 3_000, &[8, 1], "vm-3"),
     ];
-    assert_eq!(take(&mut cases, &ends), [print(1)]);
-    assert_eq!(take(&mut cases, &[end(4, 4_000, &[8, 2], "vm-1")]), []);
-    // With as many ends as the innocent one the cause is still hidden, with one more it isn't.
-    let third = take(&mut cases, &[end(5, 5_000, &[7, 3], "vm-1")]);
-    let fourth = take(&mut cases, &[end(6, 6_000, &[7, 4], "vm-1")]);
-    assert_eq!([third, fourth].concat(), [print(7)]);
-    take(&mut cases, &[end(7, 7_000, &[8, 5], "vm-1")]);
-    take(&mut cases, &[end(8, 8_000, &[8, 6], "vm-1")]);
-    assert!(cases.rest(&print(8), 8_000).is_some());
+    assert_eq!(add_crashes(&mut history, &crashes), [fingerprint(1)]);
     assert_eq!(
-        cases.rest(&print(1), 8_000),
+        add_crashes(&mut history, &[crash(4, 4_000, &[8, 2], "vm-1")]),
+        []
+    );
+    // In as many crashes as the innocent request the cause is still hidden, in one more it isn't.
+    let third = add_crashes(&mut history, &[crash(5, 5_000, &[7, 3], "vm-1")]);
+    let fourth = add_crashes(&mut history, &[crash(6, 6_000, &[7, 4], "vm-1")]);
+    assert_eq!([third, fourth].concat(), [fingerprint(7)]);
+    add_crashes(&mut history, &[crash(7, 7_000, &[8, 5], "vm-1")]);
+    add_crashes(&mut history, &[crash(8, 8_000, &[8, 6], "vm-1")]);
+    assert!(history.remaining_hold(&fingerprint(8), 8_000).is_some());
+    assert_eq!(
+        history.remaining_hold(&fingerprint(1), 8_000),
         None,
-        "others explain its ends"
+        "others explain its crashes"
+    );
+    // It was held before, so one crash suffices to hold it again.
+    assert_eq!(
+        add_crashes(&mut history, &[crash(9, 9_000, &[1], "vm-1")]),
+        [fingerprint(1)]
     );
-    // It isn't trusted as before.
-    assert_eq!(take(&mut cases, &[end(9, 9_000, &[1], "vm-1")]), [print(1)]);
 }
 
-/// A rack takes all its servers at a moment, and a body that is asked for often is on each.
+/// A rack failure crashes all its servers at once, and a frequent request runs on each of them.
 #[test]
-fn servers_that_end_at_one_moment_count_once() {
-    let mut cases = Cases::default();
-    let moment = ONE_MOMENT.as_millis() as u64;
-    let ends: Vec<ServerEnd> = (0..12)
+fn simultaneous_crashes_count_once() {
+    let mut history = CrashHistory::default();
+    let window = SIMULTANEOUS_WINDOW.as_millis() as u64;
+    let crashes: Vec<ServerCrash> = (0..12)
         .map(|number| {
-            end(
+            crash(
                 number,
-                1_000 + u64::from(number) * moment / 11,
+                1_000 + u64::from(number) * window / 11,
                 &[7],
                 "vm-1",
             )
         })
         .collect();
-    assert_eq!(take(&mut cases, &ends), []);
+    assert_eq!(add_crashes(&mut history, &crashes), []);
 }
 
-/// In a release servers end one after the other, each with requests of that body.
+/// A release restarts one server after the other, each while it runs the request.
 #[test]
-fn a_body_that_is_served_between_the_ends_is_never_held() {
-    let mut cases = Cases::default();
+fn request_completed_between_crashes_is_never_held() {
+    let mut history = CrashHistory::default();
     for number in 0..40 {
         let at = u64::from(number) * SECOND;
-        assert_eq!(take(&mut cases, &[end(number, at, &[7], "vm-1")]), []);
-        cases.on_served(print(7), at + SECOND / 2);
+        assert_eq!(
+            add_crashes(&mut history, &[crash(number, at, &[7], "vm-1")]),
+            []
+        );
+        history.on_completed(fingerprint(7), at + SECOND / 2);
     }
 }
 
 #[test]
-fn a_good_end_lifts_a_hold_and_clears_of_ends_that_are_told_later() {
-    let mut cases = Cases::default();
-    let ends = [1, 2, 3].map(|number| end(number, u64::from(number) * SECOND, &[7], "vm-1"));
-    assert_eq!(take(&mut cases, &ends), [print(7)]);
-    assert_eq!(cases.on_served(print(7), 3_500), Cleared::Hold);
-    assert_eq!(cases.rest(&print(7), 3_500), None);
-    // Another router tells of the same ends, and of one more from before.
-    let later = [4, 2, 1].map(|number| end(number, 3_000, &[7], "vm-2"));
-    assert_eq!(take(&mut cases, &later), []);
-    assert_eq!(cases.rest(&print(7), 3_600), None);
+fn completion_lifts_a_hold_and_clears_crashes_reported_later() {
+    let mut history = CrashHistory::default();
+    let crashes = [1, 2, 3].map(|number| crash(number, u64::from(number) * SECOND, &[7], "vm-1"));
+    assert_eq!(add_crashes(&mut history, &crashes), [fingerprint(7)]);
+    assert_eq!(history.on_completed(fingerprint(7), 3_500), Clearance::Hold);
+    assert_eq!(history.remaining_hold(&fingerprint(7), 3_500), None);
+    // Another router reports the same crashes, and one more from before the completion.
+    let later = [4, 2, 1].map(|number| crash(number, 3_000, &[7], "vm-2"));
+    assert_eq!(add_crashes(&mut history, &later), []);
+    assert_eq!(history.remaining_hold(&fingerprint(7), 3_600), None);
 }
 
 #[test]
-fn a_request_that_was_held_is_not_trusted_a_second_time() {
-    let mut cases = Cases::default();
-    let ends = [1, 2, 3].map(|number| end(number, u64::from(number) * SECOND, &[7], "vm-1"));
-    assert_eq!(take(&mut cases, &ends), [print(7)]);
-    let over = 3 * SECOND + HOLD.as_millis() as u64;
-    assert_eq!(cases.rest(&print(7), over), None, "it may be tried once");
-    assert_eq!(take(&mut cases, &[end(9, over, &[7], "vm-1")]), [print(7)]);
-    assert_eq!(cases.rest(&print(7), over), Some(HOLD * 2));
+fn request_held_before_is_held_again_after_one_crash() {
+    let mut history = CrashHistory::default();
+    let crashes = [1, 2, 3].map(|number| crash(number, u64::from(number) * SECOND, &[7], "vm-1"));
+    assert_eq!(add_crashes(&mut history, &crashes), [fingerprint(7)]);
+    let expiry = 3 * SECOND + INITIAL_HOLD.as_millis() as u64;
+    assert_eq!(
+        history.remaining_hold(&fingerprint(7), expiry),
+        None,
+        "it may be tried once"
+    );
+    assert_eq!(
+        add_crashes(&mut history, &[crash(9, expiry, &[7], "vm-1")]),
+        [fingerprint(7)]
+    );
+    assert_eq!(
+        history.remaining_hold(&fingerprint(7), expiry),
+        Some(INITIAL_HOLD * 2)
+    );
 }
 
-/// All routers may send the request once the time is over, and each would end a server.
+/// If all routers released the request at the same time, each of them would crash a server.
 #[test]
-fn routers_let_go_one_after_the_other_and_whenever_they_heard_of_it() {
+fn holds_expire_staggered_and_independently_of_arrival_times() {
     let late = Duration::from_secs(7);
-    let mut first = Cases::default();
-    let mut second = Cases::with_stagger(late);
-    let ends = [1, 2, 3].map(|number| end(number, u64::from(number) * SECOND, &[7], "vm-1"));
-    assert_eq!(take(&mut first, &ends), [print(7)]);
-    for end in &ends {
-        second.on_end(60 * SECOND, end);
+    let mut first = CrashHistory::default();
+    let mut second = CrashHistory::with_stagger(late);
+    let crashes = [1, 2, 3].map(|number| crash(number, u64::from(number) * SECOND, &[7], "vm-1"));
+    assert_eq!(add_crashes(&mut first, &crashes), [fingerprint(7)]);
+    for crash in &crashes {
+        second.on_crash(60 * SECOND, crash);
     }
     let now = 60 * SECOND;
-    let left = first.rest(&print(7), now).expect("held");
-    assert_eq!(left, HOLD - Duration::from_secs(57));
-    assert_eq!(second.rest(&print(7), now), Some(left + late));
+    let left = first.remaining_hold(&fingerprint(7), now).expect("held");
+    assert_eq!(left, INITIAL_HOLD - Duration::from_secs(57));
+    assert_eq!(
+        second.remaining_hold(&fingerprint(7), now),
+        Some(left + late)
+    );
 }
 
 #[test]
-fn ends_age_and_so_do_holds() {
-    let mut cases = Cases::default();
+fn crashes_and_holds_expire() {
+    let mut history = CrashHistory::default();
     let hour = 3_600 * SECOND;
-    assert_eq!(take(&mut cases, &[end(1, SECOND, &[7], "vm-1")]), []);
-    assert_eq!(take(&mut cases, &[end(2, hour, &[7], "vm-1")]), []);
-    assert_eq!(take(&mut cases, &[end(3, 2 * hour, &[7], "vm-1")]), []);
-    // An old end that is told late isn't news.
-    let late = cases.on_end(9 * hour, &end(4, hour, &[7], "vm-2"));
-    assert_eq!(late, Verdict::default());
-    assert!(cases.is_empty());
+    assert_eq!(
+        add_crashes(&mut history, &[crash(1, SECOND, &[7], "vm-1")]),
+        []
+    );
+    assert_eq!(
+        add_crashes(&mut history, &[crash(2, hour, &[7], "vm-1")]),
+        []
+    );
+    assert_eq!(
+        add_crashes(&mut history, &[crash(3, 2 * hour, &[7], "vm-1")]),
+        []
+    );
+    // An old crash that is reported late has no effect.
+    let late = history.on_crash(9 * hour, &crash(4, hour, &[7], "vm-2"));
+    assert_eq!(late, HoldChanges::default());
+    assert!(history.is_empty());
 }
 
 #[test]
-fn memory_is_bounded_and_what_is_held_stays_held() {
-    let mut cases = Cases::default();
-    let ends = [1, 2, 3].map(|number| end(number, u64::from(number) * SECOND, &[7], "vm-1"));
-    assert_eq!(take(&mut cases, &ends), [print(7)]);
-    // A caller floods servers that it ends with requests of all sorts.
-    for number in 10..10 + 3 * ENDS_MAX as u32 {
+fn memory_is_bounded_and_holds_are_kept() {
+    let mut history = CrashHistory::default();
+    let crashes = [1, 2, 3].map(|number| crash(number, u64::from(number) * SECOND, &[7], "vm-1"));
+    assert_eq!(add_crashes(&mut history, &crashes), [fingerprint(7)]);
+    // A caller floods servers with many different requests and crashes them.
+    for number in 10..10 + 3 * MAX_CRASHES as u32 {
         let first = number * 1_000;
-        let prints: Vec<u32> = (first..first + 2 * PRINTS_MAX as u32).collect();
-        cases.on_end(4 * SECOND, &end(number, 4 * SECOND, &prints, "vm-1"));
+        let fingerprints: Vec<u32> = (first..first + 2 * MAX_FINGERPRINTS as u32).collect();
+        history.on_crash(
+            4 * SECOND,
+            &crash(number, 4 * SECOND, &fingerprints, "vm-1"),
+        );
     }
-    assert!(cases.rest(&print(7), 4 * SECOND).is_some());
-    assert!(cases.held_len() <= HELD_MAX);
-    let text = format!("{cases:?}");
+    assert!(
+        history
+            .remaining_hold(&fingerprint(7), 4 * SECOND)
+            .is_some()
+    );
+    assert!(history.held_len() <= MAX_HELD);
+    let text = format!("{history:?}");
     let kept = text.matches("Fingerprint(").count();
-    // Each is kept with its end and once by itself.
+    // Each is kept with its crash and once on its own.
     assert!(
-        kept <= 2 * ENDS_MAX * PRINTS_MAX + HELD_MAX,
-        "{kept} prints are kept"
+        kept <= 2 * MAX_CRASHES * MAX_FINGERPRINTS + MAX_HELD,
+        "{kept} fingerprints are kept"
     );
 }
 
 proptest! {
-    /// Servers end under a request, among random neighbours that come again and meet further ends:
-    /// it is held by the last of so many ends, and nobody who met fewer.
+    /// Servers crash while running one request, among random neighbors that are retried and meet
+    /// further crashes. The request is held from the last crash that it takes, and no request in
+    /// fewer crashes is held.
     #[test]
-    fn nobody_is_held_by_fewer_ends_than_it_takes(
+    fn no_request_is_held_by_too_few_crashes(
         rows in prop::collection::vec(prop::collection::hash_set(0_u32..40, 0..8), 1..24),
     ) {
-        let mut cases = Cases::default();
-        let mut met = std::collections::HashMap::<u32, usize>::new();
-        let mut deadly_ends = 0;
-        for (number, neighbours) in rows.iter().enumerate() {
+        let mut history = CrashHistory::default();
+        let mut crash_counts = std::collections::HashMap::<u32, usize>::new();
+        let mut query_crashes = 0;
+        for (number, neighbors) in rows.iter().enumerate() {
             let at = (number as u64 + 1) * SECOND;
-            if cases.rest(&print(99), at).is_some() {
+            if history.remaining_hold(&fingerprint(99), at).is_some() {
                 break;
             }
-            let mut prints: HashSet<u32> = neighbours.clone();
-            prints.retain(|one| cases.rest(&print(*one), at).is_none());
-            for one in &prints {
-                *met.entry(*one).or_default() += 1;
+            let mut fingerprints: HashSet<u32> = neighbors.clone();
+            fingerprints.retain(|one| history.remaining_hold(&fingerprint(*one), at).is_none());
+            for one in &fingerprints {
+                *crash_counts.entry(*one).or_default() += 1;
             }
-            prints.insert(99);
-            deadly_ends += 1;
-            let prints: Vec<u32> = prints.into_iter().collect();
-            cases.on_end(at, &end(number as u32, at, &prints, "vm-1"));
-            prop_assert_eq!(cases.rest(&print(99), at).is_some(), deadly_ends >= ENDS);
-            for (one, count) in &met {
-                prop_assert!(cases.rest(&print(*one), at).is_none() || *count >= ENDS);
+            fingerprints.insert(99);
+            query_crashes += 1;
+            let fingerprints: Vec<u32> = fingerprints.into_iter().collect();
+            history.on_crash(at, &crash(number as u32, at, &fingerprints, "vm-1"));
+            prop_assert_eq!(
+                history.remaining_hold(&fingerprint(99), at).is_some(),
+                query_crashes >= CRASHES_TO_HOLD
+            );
+            for (one, count) in &crash_counts {
+                prop_assert!(
+                    history.remaining_hold(&fingerprint(*one), at).is_none()
+                        || *count >= CRASHES_TO_HOLD
+                );
             }
         }
     }
 
-    /// Two deadly requests among neighbours that meet the ends of both: neither ends more servers than
-    /// is allowed.
+    /// Two queries of death among neighbors that meet crashes of both: neither crashes more servers
+    /// than allowed.
     #[test]
-    fn two_deadly_requests_at_a_time_are_both_found(
+    fn two_concurrent_queries_of_death_are_both_held(
         rows in prop::collection::vec((any::<bool>(), prop::collection::hash_set(0_u32..12, 0..6)), 1..40),
     ) {
-        let mut cases = Cases::default();
-        let mut ends = [0; 2];
-        for (number, (is_second, neighbours)) in rows.iter().enumerate() {
+        let mut history = CrashHistory::default();
+        let mut crashes = [0; 2];
+        for (number, (is_second, neighbors)) in rows.iter().enumerate() {
             let at = (number as u64 + 1) * SECOND;
-            let deadly = 98 + u32::from(*is_second);
-            if cases.rest(&print(deadly), at).is_some() {
+            let query = 98 + u32::from(*is_second);
+            if history.remaining_hold(&fingerprint(query), at).is_some() {
                 continue;
             }
-            let mut prints: Vec<u32> = neighbours.iter().copied().collect();
-            prints.retain(|one| cases.rest(&print(*one), at).is_none());
-            prints.push(deadly);
-            cases.on_end(at, &end(number as u32, at, &prints, "vm-1"));
-            ends[usize::from(*is_second)] += 1;
+            let mut fingerprints: Vec<u32> = neighbors.iter().copied().collect();
+            fingerprints.retain(|one| history.remaining_hold(&fingerprint(*one), at).is_none());
+            fingerprints.push(query);
+            history.on_crash(at, &crash(number as u32, at, &fingerprints, "vm-1"));
+            crashes[usize::from(*is_second)] += 1;
         }
-        prop_assert!(ends.iter().all(|ends| *ends <= ENDS + MORE), "{:?}", ends);
+        prop_assert!(
+            crashes.iter().all(|crashes| *crashes <= CRASHES_TO_HOLD + MAX_EXTRA_ATTEMPTS),
+            "{:?}",
+            crashes
+        );
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,23 +1,24 @@
-//! Roll-outs: a pool's traffic moves from servers of the versions in use to servers of a new one.
+//! Rollouts move a pool's traffic from the versions in use to a new version.
 //!
-//! Operators give an [`Order`]. A [`Progress`] on the store says how far it has come; its [`Stage`]
-//! only grows. During the trial each router sends a small part of its requests to a few servers of
-//! the new version, as many as that part of the traffic keeps as busy as any other ([`Roster`]).
-//! Each router counts answers in a [`Tally`]; the router that leads the roll-out adds them up
-//! ([`Evidence`]), compares both sides ([`judge`]), and decides what comes next ([`next`]).
+//! Operators submit an [`Order`]. A [`Progress`] record on the store holds the [`Stage`] that it
+//! has reached; stages only advance. During the canary stage each router sends a small share of its
+//! requests to a few servers of the new version, chosen so that they are as busy as the others
+//! ([`VersionPolicy`]). Each router counts responses in [`RouterStats`]. The coordinating router
+//! aggregates them ([`ReportAggregate`]), compares both versions ([`compare_versions`]) and decides
+//! on the next step ([`next_step`]).
 //!
-//! Nothing here does I/O.
+//! This crate does no I/O.
 
-mod evidence;
+mod aggregate;
 mod order;
 mod plan;
-mod roster;
-mod tally;
-mod verdict;
+mod policy;
+mod regression;
+mod stats;
 
-pub use evidence::{Evidence, Report};
-pub use order::{Order, Progress, Stage, Terms};
-pub use plan::{Situation, Step, next};
-pub use roster::{Part, Roster};
-pub use tally::{CLASSES, Key, Sums, Tally, class};
-pub use verdict::{Finding, judge};
+pub use aggregate::{Report, ReportAggregate};
+pub use order::{ExposureLimit, Order, Progress, Stage};
+pub use plan::{RolloutState, Step, next_step};
+pub use policy::{Assignment, VersionPolicy};
+pub use regression::{Regression, compare_versions};
+pub use stats::{LATENCY_BUCKETS, ResponseStats, RouterStats, StatsKey, latency_bucket};
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,88 +1,89 @@
-//! What operators ask for, and how far it has come.
+//! Rollout orders submitted by operators, and their progress.
 
 use std::time::Duration;
 
 use swiftlink_types::{PoolName, VersionName, WallMs};
 
-/// Part of the allowed exposure that the trial takes; the rest is left for answers between the
-/// first ones that show a fault under full traffic and the moment at which all routers know.
-const TRIAL_PART: f64 = 0.75;
+/// Share of the allowed exposure that the canary stage uses. The rest covers requests served
+/// between the first failures under full traffic and the moment when all routers stop using the
+/// version.
+const CANARY_EXPOSURE: f64 = 0.75;
 
-/// An order of the operators.
+/// A rollout order submitted by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Pool whose traffic is to move.
+    /// Pool whose traffic moves.
     pub pool: PoolName,
-    /// Version that it is to move to.
+    /// Version that the traffic moves to.
     pub version: VersionName,
     /// Time from the order to its deadline.
-    pub time: Duration,
-    /// Offset of the order on the store: a later order has a greater one.
+    pub time_limit: Duration,
+    /// Offset of the order on the store; later orders have greater offsets.
     pub number: u64,
 }
 
-/// How far a roll-out has come; it never goes back.
+/// Stage of a rollout. Stages only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// Nobody has begun it: the new version gets nothing.
+    /// Not begun: the new version gets no requests.
     Ordered,
-    /// A small part of the requests goes to the new version.
-    Trial,
-    /// All new requests do; what runs at the versions before goes on.
+    /// The new version gets a small share of the requests.
+    Canary,
+    /// The new version gets all new requests. Requests running on old versions continue.
     Shift,
-    /// The versions before get nothing more, and their servers end.
+    /// The old versions get no more requests and their servers terminate.
     Completed,
-    /// The new version gets nothing more.
+    /// The new version gets no more requests.
     Reverted,
 }
 
 impl Stage {
-    /// Its name in logs.
+    /// Name used in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ordered => "ordered",
-            Self::Trial => "trial",
+            Self::Canary => "trial",
             Self::Shift => "shift",
             Self::Completed => "completed",
             Self::Reverted => "reverted",
         }
     }
 
-    /// Whether nothing follows.
+    /// Whether no other stage follows.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Reverted)
     }
 }
 
-/// How far an order has come, as the store says.
+/// Progress of an order as recorded on the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The order's number.
+    /// Number of the order.
     pub order: u64,
-    /// The order's version.
+    /// Version of the order.
     pub version: VersionName,
-    /// The stage.
+    /// Stage reached.
     pub stage: Stage,
-    /// Time of day at which the order was first seen.
+    /// Time of day when the order was first seen.
     pub started: WallMs,
 }
 
-/// How much of a service's traffic a version may get that turns out to be bad.
+/// Limit on the traffic that a faulty version may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Part of all requests between the order and its deadline.
+pub struct ExposureLimit {
+    /// Share of all requests between the order and its deadline.
     pub share: f64,
-    /// Requests beyond that.
+    /// Number of requests allowed in addition to the share.
     pub slack: f64,
 }
 
-impl Terms {
-    /// Part of the requests that goes to the new version during the trial. Each router draws for
-    /// itself, so the part of the fleet is the same, however many routers there are.
+impl ExposureLimit {
+    /// Share of the requests that go to the new version during the canary stage. Each router
+    /// samples independently, so the fleet-wide share doesn't depend on the number of routers.
     #[must_use]
-    pub fn trial(&self) -> f64 {
-        (self.share * TRIAL_PART).clamp(0.0, 1.0)
+    pub fn canary_share(&self) -> f64 {
+        (self.share * CANARY_EXPOSURE).clamp(0.0, 1.0)
     }
 }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,79 +1,79 @@
-//! What comes next in a roll-out.
+//! Decides on the next step of a rollout.
 
 use std::time::Duration;
 
 use crate::order::{Order, Stage};
-use crate::verdict::Finding;
+use crate::regression::Regression;
 
-/// Part of an order's time after which the trial is over.
-const TRIAL_END: f64 = 0.45;
-/// Part of an order's time after which the versions before are let go, whatever still runs there:
-/// the rest is for the store to confirm it, also when it is slow.
-const LAST: f64 = 0.85;
-/// Part of an order's time that all traffic runs at the new version at least before the others are
-/// let go: faults that only show under load show then.
-const WATCH: f64 = 0.35;
+/// Share of an order's time limit after which the canary stage ends.
+const CANARY_END: f64 = 0.45;
+/// Share of an order's time limit after which the old versions are retired even if they still run
+/// requests. The remainder is for the store to confirm the stage, which may be slow.
+const FINAL_DEADLINE: f64 = 0.85;
+/// Minimum share of an order's time limit that the new version serves all traffic before the old
+/// versions are retired, so that faults that only show under load are seen.
+const MIN_SHIFT: f64 = 0.35;
 
-/// What is known when a step is decided.
+/// State of a rollout on which a step is decided.
 #[derive(Clone, Debug)]
-pub struct Situation {
-    /// The stage so far.
+pub struct RolloutState {
+    /// Current stage.
     pub stage: Stage,
     /// Time since the order was first seen.
     pub elapsed: Duration,
     /// Time since the stage began.
-    pub in_stage: Duration,
-    /// Servers of the new version that may take work.
+    pub stage_age: Duration,
+    /// Servers of the new version that accept requests.
     pub new_servers: usize,
     /// Servers of other versions.
     pub old_servers: usize,
-    /// Whether nothing runs at the versions before any more.
-    pub is_moved: bool,
-    /// What speaks against the new version.
-    pub finding: Option<Finding>,
+    /// Whether no requests run on old versions.
+    pub is_old_idle: bool,
+    /// Regression found in the new version.
+    pub regression: Option<Regression>,
 }
 
-/// What to do.
+/// Next action of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing yet.
-    Stay,
-    /// The next stage begins.
-    Go(Stage),
-    /// The new version gets nothing more, for this reason.
+    /// Stay in the current stage.
+    Wait,
+    /// Enter this stage.
+    Advance(Stage),
+    /// Stop sending requests to the new version, for this reason.
     Revert(String),
 }
 
-/// The next step of an order.
+/// Decides on the next step of an order.
 #[must_use]
-pub fn next(order: &Order, now: &Situation) -> Step {
-    if now.stage.is_final() {
-        return Step::Stay;
+pub fn next_step(order: &Order, state: &RolloutState) -> Step {
+    if state.stage.is_final() {
+        return Step::Wait;
     }
-    if let Some(finding) = &now.finding {
-        return Step::Revert(finding.to_string());
+    if let Some(regression) = &state.regression {
+        return Step::Revert(regression.to_string());
     }
-    let is_due = |part: f64| now.elapsed >= order.time.mul_f64(part);
-    if now.new_servers == 0 {
-        if is_due(LAST) {
+    let is_due = |share: f64| state.elapsed >= order.time_limit.mul_f64(share);
+    if state.new_servers == 0 {
+        if is_due(FINAL_DEADLINE) {
             return Step::Revert("no server of the version".to_owned());
         }
-        return Step::Stay;
+        return Step::Wait;
     }
-    if now.old_servers == 0 {
-        // All traffic is there already.
-        return Step::Go(Stage::Completed);
+    if state.old_servers == 0 {
+        // All traffic already goes to the new version.
+        return Step::Advance(Stage::Completed);
     }
-    match now.stage {
-        Stage::Ordered => Step::Go(Stage::Trial),
-        Stage::Trial if is_due(TRIAL_END) => Step::Go(Stage::Shift),
+    match state.stage {
+        Stage::Ordered => Step::Advance(Stage::Canary),
+        Stage::Canary if is_due(CANARY_END) => Step::Advance(Stage::Shift),
         Stage::Shift => {
-            let is_watched = now.in_stage >= order.time.mul_f64(WATCH);
-            if is_watched && (now.is_moved || is_due(LAST)) {
-                return Step::Go(Stage::Completed);
+            let is_observed = state.stage_age >= order.time_limit.mul_f64(MIN_SHIFT);
+            if is_observed && (state.is_old_idle || is_due(FINAL_DEADLINE)) {
+                return Step::Advance(Stage::Completed);
             }
-            Step::Stay
+            Step::Wait
         }
-        Stage::Trial | Stage::Completed | Stage::Reverted => Step::Stay,
+        Stage::Canary | Stage::Completed | Stage::Reverted => Step::Wait,
     }
 }
--- a/crates/rollout/src/roster.rs
+++ b/crates/rollout/src/policy.rs
@@ -1,46 +1,47 @@
-//! Which servers of a pool get which requests, by their versions.
+//! Decides which requests each server of a pool gets, by its version.
 
 use std::collections::{HashMap, HashSet};
 
 use swiftlink_types::{ServerName, VersionName};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::order::{Order, Progress, Stage, Terms};
+use crate::order::{ExposureLimit, Order, Progress, Stage};
 
-/// What a server takes.
+/// Requests that a server gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Part {
-    /// Ordinary requests.
-    Plain,
-    /// Requests of the trial.
-    Trial,
-    /// None.
-    Held,
+pub enum Assignment {
+    /// Regular requests.
+    Regular,
+    /// Canary requests only.
+    Canary,
+    /// No requests.
+    Excluded,
 }
 
-/// The versions of one pool's servers.
+/// Versions of one pool's servers, and the rollout that decides between them.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct VersionPolicy {
     order: Option<Order>,
-    /// Where the store says how far an order has come, the newest of it.
+    /// Latest progress of an order on the store.
     progress: Option<Progress>,
-    /// Versions that may get ordinary requests without an order.
+    /// Versions that get regular requests without an order.
     known: HashSet<VersionName>,
-    /// Versions that a roll-out replaced: their servers end.
+    /// Versions replaced by a rollout; their servers terminate.
     replaced: HashSet<VersionName>,
     /// Whether all servers have the ordered version.
-    is_alone: bool,
-    /// Versions that appeared beside known ones: an order for them may be on its way.
-    fresh: HashMap<VersionName, u64>,
+    is_only: bool,
+    /// Versions that appeared beside known ones, with the time of their first listing. An order for
+    /// them may not have arrived yet.
+    unconfirmed: HashMap<VersionName, u64>,
 }
 
-impl Roster {
-    /// Takes the order in force; `None` where there is none.
+impl VersionPolicy {
+    /// Sets the current order; `None` when there is none.
     pub fn set_order(&mut self, order: Option<Order>) {
         if let (Some(before), None) = (&self.order, &order)
             && !self.stage().is_final()
         {
-            // Taken back midway: what it would have moved to isn't to be used.
+            // The order was withdrawn before it finished, so its version must not be used.
             self.progress = Some(Progress {
                 order: before.number,
                 version: before.version.clone(),
@@ -51,7 +52,7 @@
         self.order = order;
     }
 
-    /// Takes how far an order has come. Says whether that is new.
+    /// Updates the progress of an order. Returns whether it is newer than the known one.
     pub fn set_progress(&mut self, progress: Progress) -> bool {
         let at = |progress: &Progress| (progress.order, progress.stage);
         if self
@@ -65,13 +66,13 @@
         true
     }
 
-    /// The order in force.
+    /// The current order.
     #[must_use]
     pub fn order(&self) -> Option<&Order> {
         self.order.as_ref()
     }
 
-    /// How far the order in force has come, as the store says.
+    /// Progress of the current order on the store.
     #[must_use]
     pub fn progress(&self) -> Option<&Progress> {
         let order = self.order.as_ref()?;
@@ -79,27 +80,27 @@
         (progress.order == order.number).then_some(progress)
     }
 
-    /// Stage of the order in force.
+    /// Stage of the current order.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.progress()
             .map_or(Stage::Ordered, |progress| progress.stage)
     }
 
-    /// The order, while it is neither completed nor reverted.
+    /// The current order while it is neither completed nor reverted.
     #[must_use]
     pub fn running(&self) -> Option<&Order> {
         let order = self.order.as_ref()?;
         (!self.stage().is_final()).then_some(order)
     }
 
-    /// Takes the versions that servers have, as known at `stamp`.
-    pub fn list(&mut self, versions: &HashSet<VersionName>, stamp: u64) {
+    /// Updates the versions of the listed servers, as known at `stamp`.
+    pub fn set_versions(&mut self, versions: &HashSet<VersionName>, stamp: u64) {
         let ordered = self.order.as_ref().map(|order| &order.version);
         let mut all = versions.iter();
-        self.is_alone = all.all(|version| Some(version) == ordered);
+        self.is_only = all.all(|version| Some(version) == ordered);
         if self.known.is_empty() {
-            // Nothing is in use beside it that an order could have moved from.
+            // No other version is in use that the order could move traffic from.
             self.known.clone_from(versions);
             if let Some(order) = &self.order {
                 self.known.remove(&order.version);
@@ -107,27 +108,28 @@
         }
         for version in versions {
             if !self.known.contains(version) {
-                self.fresh.entry(version.clone()).or_insert(stamp);
+                self.unconfirmed.entry(version.clone()).or_insert(stamp);
             }
         }
-        self.fresh.retain(|version, _| versions.contains(version));
+        self.unconfirmed
+            .retain(|version, _| versions.contains(version));
         if self.order.is_some() && self.stage() == Stage::Completed {
-            self.replace(versions);
+            self.mark_replaced(versions);
         }
     }
 
-    /// All orders up to `stamp` are known: a version that appeared before and that none names may
-    /// be used. Says whether there was one.
+    /// Releases versions for regular requests that appeared up to `stamp` and that no order names.
+    /// All orders up to `stamp` must be known. Returns whether there was one.
     pub fn confirm(&mut self, stamp: u64) -> bool {
         let ordered = self.order.as_ref().map(|order| order.version.clone());
         let reverted = self.reverted().cloned();
         let mut changed = false;
         let (known, replaced) = (&mut self.known, &self.replaced);
-        self.fresh.retain(|version, since| {
-            let is_free = ordered.as_ref() != Some(version)
+        self.unconfirmed.retain(|version, since| {
+            let is_unclaimed = ordered.as_ref() != Some(version)
                 && reverted.as_ref() != Some(version)
                 && !replaced.contains(version);
-            if is_free && *since <= stamp {
+            if is_unclaimed && *since <= stamp {
                 known.insert(version.clone());
                 changed = true;
                 return false;
@@ -137,7 +139,7 @@
         changed
     }
 
-    fn replace(&mut self, versions: &HashSet<VersionName>) {
+    fn mark_replaced(&mut self, versions: &HashSet<VersionName>) {
         let Some(order) = &self.order else {
             return;
         };
@@ -145,11 +147,11 @@
         let before = others.filter(|version| self.known.contains(*version));
         self.replaced.extend(before.cloned());
         self.known.insert(order.version.clone());
-        self.fresh.remove(&order.version);
+        self.unconfirmed.remove(&order.version);
         self.replaced.remove(&order.version);
     }
 
-    /// The version that was reverted last.
+    /// The version reverted last.
     fn reverted(&self) -> Option<&VersionName> {
         let progress = self.progress.as_ref()?;
         let is_newest = self
@@ -159,38 +161,42 @@
         (is_newest && progress.stage == Stage::Reverted).then_some(&progress.version)
     }
 
-    /// What servers of a version take; of the ordered one, those that [`Self::few`] names are for the
-    /// trial.
+    /// Requests that servers of a version get. Of a canary version only the servers selected by
+    /// [`Self::canary_servers`] get any.
     #[must_use]
-    pub fn part(&self, version: &VersionName) -> Part {
+    pub fn assignment(&self, version: &VersionName) -> Assignment {
         if self.reverted() == Some(version) {
-            return Part::Held;
+            return Assignment::Excluded;
         }
         let Some(order) = &self.order else {
-            return self.plain(version);
+            return self.regular_assignment(version);
         };
         match (self.stage(), order.version == *version) {
-            (Stage::Ordered | Stage::Trial, true) if self.is_alone => Part::Plain,
-            (Stage::Trial, true) => Part::Trial,
-            (Stage::Ordered | Stage::Reverted, true) => Part::Held,
-            (Stage::Shift | Stage::Completed, true) => Part::Plain,
-            (Stage::Shift, false) if self.known.contains(version) => Part::Held,
-            (_, false) => self.plain(version),
+            (Stage::Ordered | Stage::Canary, true) if self.is_only => Assignment::Regular,
+            (Stage::Canary, true) => Assignment::Canary,
+            (Stage::Ordered | Stage::Reverted, true) => Assignment::Excluded,
+            (Stage::Shift | Stage::Completed, true) => Assignment::Regular,
+            (Stage::Shift, false) if self.known.contains(version) => Assignment::Excluded,
+            (_, false) => self.regular_assignment(version),
         }
     }
 
-    fn plain(&self, version: &VersionName) -> Part {
-        if self.fresh.contains_key(version) || self.replaced.contains(version) {
-            return Part::Held;
+    fn regular_assignment(&self, version: &VersionName) -> Assignment {
+        if self.unconfirmed.contains_key(version) || self.replaced.contains(version) {
+            return Assignment::Excluded;
         }
-        Part::Plain
+        Assignment::Regular
     }
 
-    /// The servers of the ordered version that get the trial's requests: so few that each has as
-    /// much to do as a server that gets ordinary ones. The same at all routers.
+    /// Selects the servers of the ordered version that get the canary requests: as many as keep
+    /// each as busy as a server with regular requests. All routers select the same ones.
     #[must_use]
-    pub fn few(&self, mut servers: Vec<ServerName>, terms: &Terms) -> HashSet<ServerName> {
-        let count = (servers.len() as f64 * terms.trial()).ceil() as usize;
+    pub fn canary_servers(
+        &self,
+        mut servers: Vec<ServerName>,
+        exposure: &ExposureLimit,
+    ) -> HashSet<ServerName> {
+        let count = (servers.len() as f64 * exposure.canary_share()).ceil() as usize;
         servers.sort_by_key(|name| (xxh3_64(name.as_str().as_bytes()), name.clone()));
         servers.truncate(count.max(1));
         servers.into_iter().collect()
--- a/crates/rollout/tests/roster.rs
+++ b/crates/rollout/tests/roster.rs
@@ -1,16 +1,16 @@
-//! Which servers take what.
+//! Tests of the assignment of requests to versions.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
-use swiftlink_rollout::{Order, Part, Progress, Roster, Stage, Terms};
+use swiftlink_rollout::{Assignment, ExposureLimit, Order, Progress, Stage, VersionPolicy};
 use swiftlink_types::{PoolName, ServerName, VersionName};
 
 fn version(name: &str) -> VersionName {
     VersionName::from(name)
 }
 
-fn listed(names: &[&str]) -> HashSet<VersionName> {
+fn versions(names: &[&str]) -> HashSet<VersionName> {
     names.iter().map(|name| version(name)).collect()
 }
 
@@ -18,7 +18,7 @@
     Order {
         pool: PoolName::from("pool"),
         version: version(name),
-        time: Duration::from_secs(10),
+        time_limit: Duration::from_secs(10),
         number,
     }
 }
@@ -32,136 +32,179 @@
     }
 }
 
-fn parts(roster: &Roster) -> (Part, Part) {
-    (roster.part(&version("v1")), roster.part(&version("v2")))
+fn assignments(policy: &VersionPolicy) -> (Assignment, Assignment) {
+    (
+        policy.assignment(&version("v1")),
+        policy.assignment(&version("v2")),
+    )
 }
 
 #[test]
-fn each_stage_says_who_takes_what() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.set_order(Some(order(5, "v2")));
-    roster.list(&listed(&["v1", "v2"]), 2);
-    assert_eq!(parts(&roster), (Part::Plain, Part::Held));
-    assert!(roster.set_progress(progress(5, "v2", Stage::Trial)));
-    assert_eq!(parts(&roster), (Part::Plain, Part::Trial));
-    assert!(roster.set_progress(progress(5, "v2", Stage::Shift)));
-    roster.list(&listed(&["v1", "v2"]), 3);
-    assert_eq!(parts(&roster), (Part::Held, Part::Plain));
+fn stages_determine_assignments() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_order(Some(order(5, "v2")));
+    policy.set_versions(&versions(&["v1", "v2"]), 2);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Excluded)
+    );
+    assert!(policy.set_progress(progress(5, "v2", Stage::Canary)));
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Canary)
+    );
+    assert!(policy.set_progress(progress(5, "v2", Stage::Shift)));
+    policy.set_versions(&versions(&["v1", "v2"]), 3);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Excluded, Assignment::Regular)
+    );
     assert!(
-        !roster.set_progress(progress(5, "v2", Stage::Trial)),
-        "never back"
+        !policy.set_progress(progress(5, "v2", Stage::Canary)),
+        "stages never go back"
+    );
+    assert!(policy.set_progress(progress(5, "v2", Stage::Completed)));
+    policy.set_versions(&versions(&["v1", "v2"]), 4);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Excluded, Assignment::Regular)
     );
-    assert!(roster.set_progress(progress(5, "v2", Stage::Completed)));
-    roster.list(&listed(&["v1", "v2"]), 4);
-    assert_eq!(parts(&roster), (Part::Held, Part::Plain));
 }
 
 #[test]
-fn a_reverted_version_gets_nothing_also_once_the_order_is_gone() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.set_order(Some(order(5, "v2")));
-    roster.set_progress(progress(5, "v2", Stage::Trial));
-    roster.set_progress(progress(5, "v2", Stage::Reverted));
-    roster.list(&listed(&["v1", "v2"]), 2);
-    assert_eq!(parts(&roster), (Part::Plain, Part::Held));
-    roster.set_order(None);
-    roster.confirm(10);
-    assert_eq!(parts(&roster), (Part::Plain, Part::Held));
+fn reverted_version_stays_excluded_without_the_order() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_order(Some(order(5, "v2")));
+    policy.set_progress(progress(5, "v2", Stage::Canary));
+    policy.set_progress(progress(5, "v2", Stage::Reverted));
+    policy.set_versions(&versions(&["v1", "v2"]), 2);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Excluded)
+    );
+    policy.set_order(None);
+    policy.confirm(10);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Excluded)
+    );
 }
 
-/// What was used before a shift is what is left when the new version turns out to be bad.
+/// The versions in use before the shift must get all traffic again if the new version turns out to
+/// be faulty.
 #[test]
-fn the_versions_before_take_all_again_where_a_shift_is_reverted() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.set_order(Some(order(5, "v2")));
-    for stage in [Stage::Trial, Stage::Shift] {
-        roster.set_progress(progress(5, "v2", stage));
-        roster.list(&listed(&["v1", "v2"]), 2);
+fn old_versions_get_all_traffic_after_a_reverted_shift() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_order(Some(order(5, "v2")));
+    for stage in [Stage::Canary, Stage::Shift] {
+        policy.set_progress(progress(5, "v2", stage));
+        policy.set_versions(&versions(&["v1", "v2"]), 2);
     }
-    assert_eq!(parts(&roster), (Part::Held, Part::Plain));
-    roster.set_progress(progress(5, "v2", Stage::Reverted));
-    roster.list(&listed(&["v1", "v2"]), 3);
-    assert_eq!(parts(&roster), (Part::Plain, Part::Held));
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Excluded, Assignment::Regular)
+    );
+    policy.set_progress(progress(5, "v2", Stage::Reverted));
+    policy.set_versions(&versions(&["v1", "v2"]), 3);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Excluded)
+    );
 }
 
 #[test]
-fn an_order_that_is_taken_back_midway_holds_its_version() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.set_order(Some(order(5, "v2")));
-    roster.set_progress(progress(5, "v2", Stage::Trial));
-    roster.list(&listed(&["v1", "v2"]), 2);
-    roster.set_order(None);
-    assert_eq!(parts(&roster), (Part::Plain, Part::Held));
+fn withdrawn_order_excludes_its_version() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_order(Some(order(5, "v2")));
+    policy.set_progress(progress(5, "v2", Stage::Canary));
+    policy.set_versions(&versions(&["v1", "v2"]), 2);
+    policy.set_order(None);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Excluded)
+    );
 }
 
 /// Servers of a new version may be listed before the order for them is read.
 #[test]
-fn a_version_that_appears_beside_others_waits_until_all_orders_are_known() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.list(&listed(&["v1", "v2"]), 7);
-    assert_eq!(parts(&roster), (Part::Plain, Part::Held));
-    assert!(!roster.confirm(6), "an order may have come since");
-    assert!(roster.confirm(7));
-    assert_eq!(parts(&roster), (Part::Plain, Part::Plain));
+fn additional_version_waits_until_all_orders_are_known() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_versions(&versions(&["v1", "v2"]), 7);
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Excluded)
+    );
+    assert!(!policy.confirm(6), "an order may have come since");
+    assert!(policy.confirm(7));
+    assert_eq!(
+        assignments(&policy),
+        (Assignment::Regular, Assignment::Regular)
+    );
 }
 
 #[test]
-fn a_later_order_takes_the_place_of_one_that_runs() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.set_order(Some(order(5, "v2")));
-    roster.set_progress(progress(5, "v2", Stage::Trial));
-    roster.list(&listed(&["v1", "v2"]), 2);
-    roster.set_order(Some(order(9, "v3")));
-    roster.list(&listed(&["v1", "v2", "v3"]), 3);
-    roster.confirm(8);
-    assert_eq!(roster.stage(), Stage::Ordered);
-    assert_eq!(roster.part(&version("v3")), Part::Held);
+fn later_order_replaces_a_running_one() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_order(Some(order(5, "v2")));
+    policy.set_progress(progress(5, "v2", Stage::Canary));
+    policy.set_versions(&versions(&["v1", "v2"]), 2);
+    policy.set_order(Some(order(9, "v3")));
+    policy.set_versions(&versions(&["v1", "v2", "v3"]), 3);
+    policy.confirm(8);
+    assert_eq!(policy.stage(), Stage::Ordered);
+    assert_eq!(policy.assignment(&version("v3")), Assignment::Excluded);
 }
 
 #[test]
-fn an_order_for_the_version_in_use_holds_nobody() {
-    let mut roster = Roster::default();
-    roster.list(&listed(&["v1"]), 1);
-    roster.set_order(Some(order(5, "v1")));
-    roster.list(&listed(&["v1"]), 2);
-    assert_eq!(roster.part(&version("v1")), Part::Plain);
+fn order_for_the_version_in_use_excludes_no_server() {
+    let mut policy = VersionPolicy::default();
+    policy.set_versions(&versions(&["v1"]), 1);
+    policy.set_order(Some(order(5, "v1")));
+    policy.set_versions(&versions(&["v1"]), 2);
+    assert_eq!(policy.assignment(&version("v1")), Assignment::Regular);
 }
 
-/// A router that starts midway knows no more than the store says.
+/// A router that starts during a rollout only knows what the store says.
 #[test]
-fn a_router_that_starts_midway_goes_by_the_stage() {
+fn router_started_during_a_rollout_applies_its_stage() {
     for (stage, expected) in [
-        (Stage::Trial, (Part::Plain, Part::Trial)),
-        (Stage::Shift, (Part::Held, Part::Plain)),
-        (Stage::Completed, (Part::Held, Part::Plain)),
-        (Stage::Reverted, (Part::Plain, Part::Held)),
+        (Stage::Canary, (Assignment::Regular, Assignment::Canary)),
+        (Stage::Shift, (Assignment::Excluded, Assignment::Regular)),
+        (
+            Stage::Completed,
+            (Assignment::Excluded, Assignment::Regular),
+        ),
+        (Stage::Reverted, (Assignment::Regular, Assignment::Excluded)),
     ] {
-        let mut roster = Roster::default();
-        roster.set_order(Some(order(5, "v2")));
-        roster.set_progress(progress(5, "v2", stage));
-        roster.list(&listed(&["v1", "v2"]), 1);
-        assert_eq!(parts(&roster), expected, "{stage:?}");
+        let mut policy = VersionPolicy::default();
+        policy.set_order(Some(order(5, "v2")));
+        policy.set_progress(progress(5, "v2", stage));
+        policy.set_versions(&versions(&["v1", "v2"]), 1);
+        assert_eq!(assignments(&policy), expected, "{stage:?}");
     }
 }
 
 #[test]
-fn the_trial_is_for_few_servers_the_same_everywhere() {
-    let terms = Terms {
+fn all_routers_select_the_same_few_canary_servers() {
+    let exposure = ExposureLimit {
         share: 0.1,
         slack: 50.0,
     };
     let mut servers: Vec<ServerName> = (0..100)
         .map(|n| ServerName::from(format!("s{n}")))
         .collect();
-    let few = Roster::default().few(servers.clone(), &terms);
-    let expected = (100.0 * terms.trial()).ceil() as usize;
-    assert_eq!(few.len(), expected);
+    let canary_servers = VersionPolicy::default().canary_servers(servers.clone(), &exposure);
+    let expected = (100.0 * exposure.canary_share()).ceil() as usize;
+    assert_eq!(canary_servers.len(), expected);
     servers.reverse();
-    assert_eq!(Roster::default().few(servers, &terms), few);
+    assert_eq!(
+        VersionPolicy::default().canary_servers(servers, &exposure),
+        canary_servers
+    );
 }
