--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -12,7 +12,7 @@
     ExpectedWait, Fleet, FleetPolicy, LoadReport, Pick, Policy, ServerSpec, TwoChoices,
 };
 use swiftlink_types::{
-    BudgetName, ClassName, DomainName, Micros, ServerName, Start, WorkspaceName,
+    BudgetName, ClassName, DomainName, Micros, ServerInstance, ServerName, WorkspaceName,
 };
 
 use super::meter::{Cost, cost};
@@ -152,12 +152,12 @@
     settings.seed = seed;
     let specs: Vec<ServerSpec> = (0..RUNNERS)
         .map(|index| ServerSpec {
-            start: Start::from(ServerName::from(format!("runner-{index}"))),
+            instance: ServerInstance::from(ServerName::from(format!("runner-{index}"))),
             domain: domain(index),
             vm: None,
             slots: 16,
             drain: false,
-            is_trial: false,
+            is_canary: false,
             cold_until: 0,
         })
         .collect();
@@ -178,7 +178,7 @@
         let pick = Pick {
             now,
             prefix: 1 + below(&mut rng, 200),
-            is_trial: false,
+            is_canary: false,
             may_probe: true,
             ..Pick::default()
         };
--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/world.rs
@@ -4,7 +4,7 @@
 use swiftlink_routing::{
     ErrorKind, Fleet, FleetPolicy, Pick, RetryBudget, Sent, ServerIdx, ServerSpec,
 };
-use swiftlink_types::{DomainName, Micros, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 use super::outcome::Outcome;
 use super::runner::{Runner, STEP};
@@ -175,7 +175,7 @@
             prefix: request.prefix,
             exclude: &request.tried,
             domains: None,
-            is_trial: false,
+            is_canary: false,
             may_probe: true,
             ..Pick::default()
         };
@@ -293,7 +293,7 @@
     settings.health = choice.health();
     let mut fleet = Fleet::new(settings, choice.policy());
     fleet.set_config(specs);
-    let number = |name: &ServerName| specs.iter().position(|spec| spec.start.name == *name);
+    let number = |name: &ServerName| specs.iter().position(|spec| spec.instance.name == *name);
     let members = fleet.members().into_iter();
     let members = members.map(|(idx, name)| (idx, number(&name).expect("it is configured")));
     Router {
@@ -305,12 +305,12 @@
 
 fn spec(index: usize) -> ServerSpec {
     ServerSpec {
-        start: Start::from(ServerName::from(format!("runner-{index}"))),
+        instance: ServerInstance::from(ServerName::from(format!("runner-{index}"))),
         domain: domain(index),
         vm: None,
         slots: SLOTS as u32,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     }
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -14,7 +14,7 @@
 
 use crate::node::Node;
 use crate::notes;
-use crate::quarantine::tell;
+use crate::quarantine::gossip;
 use crate::rights::Reservations;
 use crate::rollout;
 use crate::watch::copies;
@@ -80,14 +80,14 @@
 
     fn take_tally(&self, tally: &Tally) {
         let pool = PoolName::from(tally.pool.as_str());
-        let report = rollout::read_report(tally);
+        let report = rollout::decode_report(tally);
         self.node
             .reports
-            .take(&pool, tally.order, tally.process, report);
+            .insert(&pool, tally.order, tally.process, report);
     }
 
     fn seen(&self, process: u64) -> Seen {
-        let Some(sighting) = self.node.sightings.get(process) else {
+        let Some(sighting) = self.node.peer_clocks.get(process) else {
             return Seen::default();
         };
         Seen {
@@ -105,7 +105,7 @@
                 notes::take(&self.node.pools, peer, notes);
                 self.noted()
             }
-            request::Kind::Ends(ends) => match tell::answer(&self.node.quarantine, peer, &ends) {
+            request::Kind::Ends(ends) => match gossip::reply_to(&self.node.quarantine, peer, &ends) {
                 Some(known) => reply::Kind::Ends(known),
                 None => self.noted(),
             },
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use swiftlink_rollout::Stage;
-use swiftlink_types::{DomainName, PoolName, Start, VersionName};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, VersionName};
 
 use crate::model::Config;
 
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEntry {
     /// Its name, and when it started.
-    pub start: Start,
+    pub instance: ServerInstance,
     /// Pool that it serves.
     pub pool: PoolName,
     /// Where it listens.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -250,7 +250,7 @@
     }
 
     fn set_servers(&self, node: &Node) {
-        let cold: usize = node.pools.all().iter().map(|pool| pool.cold()).sum();
+        let cold: usize = node.pools.all().iter().map(|pool| pool.cold_len()).sum();
         self.cold.set(i64::try_from(cold).unwrap_or(i64::MAX));
         for domain in node.pools.domains().all() {
             let labels = DomainLabels {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -12,12 +12,12 @@
 use crate::headroom::Traffic;
 use crate::metrics::Metrics;
 use crate::model::Config;
+use crate::peer_clocks::PeerClocks;
 use crate::quarantine::Quarantine;
 use crate::rights::Books;
 use crate::rights::holders::Placement;
 use crate::rollout::Reports;
 use crate::settings::RouterSettings;
-use crate::sightings::Sightings;
 use crate::watch::Copies;
 
 /// State that requests read, and the tasks that keep it up to date write.
@@ -42,7 +42,7 @@
     /// What other routers told of roll-outs that this one may lead.
     pub reports: Reports,
     /// When other processes were last seen.
-    pub sightings: Arc<Sightings>,
+    pub peer_clocks: Arc<PeerClocks>,
     /// Tells this process from others on its VM.
     pub process: u64,
     /// What the router counts.
@@ -79,7 +79,7 @@
             copies: Copies::default(),
             pools: Arc::new(Pools::new()),
             reports: Reports::default(),
-            sightings: Arc::default(),
+            peer_clocks: Arc::default(),
             process: rand::random(),
             metrics: Metrics::new(),
             traffic: Traffic::default(),
--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -10,7 +10,7 @@
 use swiftlink_link::LinkError;
 use swiftlink_routing::{Flow, Note};
 use swiftlink_telemetry::event;
-use swiftlink_types::{PoolName, ServerName, Start, VmName};
+use swiftlink_types::{PoolName, ServerInstance, ServerName, VmName};
 use swiftlink_wire::link::{Flow as FlowMessage, Notes, ServerNote, reply, request};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -67,7 +67,7 @@
 fn notes(pools: &Pools) -> Vec<ServerNote> {
     let mut all = Vec::new();
     for pool in pools.all() {
-        for note in pool.take_notes() {
+        for note in pool.take_updates() {
             all.push(message(&pool.name, note));
         }
     }
@@ -82,7 +82,7 @@
     ServerNote {
         pool: pool.to_string(),
         server: note.server.name.to_string(),
-        born: note.server.born,
+        born: note.server.started,
         unread: note.unread,
         flows: flows.collect(),
         prefixes: note.prefixes,
@@ -102,11 +102,11 @@
             longest: flow.longest,
         });
         let note = Note {
-            server: Start::new(ServerName::from(note.server.as_str()), note.born),
+            server: ServerInstance::new(ServerName::from(note.server.as_str()), note.born),
             unread: note.unread,
             flows: flows.collect(),
             prefixes: note.prefixes,
         };
-        pool.on_note(peer, &note);
+        pool.on_peer_update(peer, &note);
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -27,10 +27,10 @@
 
 use crate::clock::Clock;
 use crate::notes;
+use crate::peer_clocks::{ClockReading, PeerClocks};
 use crate::quarantine::ranking;
 use crate::rights::holders::Member;
 use crate::rights::{Calls, Witness};
-use crate::sightings::{Sighting, Sightings};
 use crate::store::Feed;
 use crate::watch::{Heard, Others, Told, Upstreams, copies};
 
@@ -80,18 +80,18 @@
     /// Whether members came since.
     is_due: AtomicBool,
     clock: Arc<dyn Clock>,
-    sightings: Arc<Sightings>,
+    peer_clocks: Arc<PeerClocks>,
 }
 
 impl Peers {
     /// A router on `vm` in `domain` that knows no others. What their answers tell of their clocks goes to
-    /// `sightings`.
+    /// `peer_clocks`.
     #[must_use]
     pub fn new(
         vm: VmName,
         domain: DomainName,
         clock: Arc<dyn Clock>,
-        sightings: Arc<Sightings>,
+        peer_clocks: Arc<PeerClocks>,
     ) -> Self {
         Self {
             vm,
@@ -105,7 +105,7 @@
             placed: Mutex::default(),
             is_due: AtomicBool::new(true),
             clock,
-            sightings,
+            peer_clocks,
             members: Mutex::default(),
             links: Mutex::default(),
             secret: channel::Sender::new(None),
@@ -308,7 +308,8 @@
         let asked = self.clock.steady();
         let reply = client.call(kind, time).await?;
         if let Some((process, steady)) = told_clock(&reply) {
-            self.sightings.note(process, Sighting { steady, asked });
+            self.peer_clocks
+                .record(process, ClockReading { steady, asked });
         }
         Ok(reply)
     }
@@ -339,7 +340,7 @@
         let asked = vms.iter().map(|vm| self.ask_seen(vm, process));
         let answers = join_all(asked).await;
         let seen = answers.into_iter().flatten().filter_map(|seen| {
-            let sighting = Sighting {
+            let sighting = ClockReading {
                 steady: seen.steady_ms?,
                 asked: 0,
             };
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -8,7 +8,7 @@
 
 use super::{Peers, lock};
 use crate::node::Node;
-use crate::quarantine::tell;
+use crate::quarantine::gossip;
 use crate::rights::holders::{Member, Placement};
 use crate::watch::{self, Follow, News, Others};
 
@@ -26,8 +26,8 @@
             let Some(value) = &change.value else {
                 continue;
             };
-            if change.key.starts_with(tell::KEY_START) {
-                tell::take_record(&self.node.quarantine, &change.key, value);
+            if change.key.starts_with(gossip::KEY_PREFIX) {
+                gossip::receive_record(&self.node.quarantine, &change.key, value);
                 continue;
             }
             self.peers.learn(&change.key, value);
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -18,7 +18,7 @@
 use crate::metrics::{Counted, Exposition};
 use crate::node::Node;
 use crate::peers::{self, Peers};
-use crate::quarantine::{self, tell};
+use crate::quarantine::{self, gossip};
 use crate::ready::{self, Readiness};
 use crate::rights::{Calls, Claims, Remote, Reservations};
 use crate::serve::Surface;
@@ -100,7 +100,7 @@
                 node.settings.vm.clone(),
                 node.settings.domain.clone(),
                 Arc::clone(node.books.clock()),
-                Arc::clone(&node.sightings),
+                Arc::clone(&node.peer_clocks),
             )
             .with_parts(node.settings.members_parts(), node.settings.bootstrap),
         );
@@ -238,8 +238,8 @@
     }
     tasks.spawn(notes::run(Arc::clone(node), Arc::clone(peers)));
     let quarantine = &node.quarantine;
-    tasks.spawn(quarantine::watch_breaks(Arc::clone(quarantine)));
-    let told = tell::run(
+    tasks.spawn(quarantine::detect_crashes(Arc::clone(quarantine)));
+    let told = gossip::run(
         Arc::clone(quarantine),
         Arc::clone(peers),
         Arc::clone(store),
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::journey::Journey;
 use crate::dialect::{Order, Verdict};
-use crate::fleet::{Chosen, Ticket};
+use crate::fleet::{SelectedServer, Ticket};
 use crate::headroom::head_bytes;
 use crate::proof::{Outcome, Ran};
 use crate::upstream::{Endpoint, Lease, SendError, SendOptions, send_to};
@@ -26,7 +26,7 @@
     pub(super) body: Body,
     pub(super) lease: Lease,
     pub(super) ticket: Ticket,
-    pub(super) server: Chosen,
+    pub(super) server: SelectedServer,
     /// `Served` or `Failed`.
     pub(super) outcome: Outcome,
 }
@@ -34,7 +34,7 @@
 /// Sends the request once. `until`: when to give the server up.
 pub(super) async fn attempt(
     journey: &Journey,
-    server: Chosen,
+    server: SelectedServer,
     mut ticket: Ticket,
     resume: Option<u64>,
     until: Instant,
@@ -46,7 +46,7 @@
         head: until.saturating_duration_since(now),
         fresh: false,
     };
-    let endpoint = Endpoint::of(server.address, &server.start);
+    let endpoint = Endpoint::of(server.address, &server.instance);
     let standing = server.standing.clone();
     let held = Arc::clone(&journey.node.quarantine).until_held(Arc::clone(&journey.origin));
     let sent = tokio::select! {
@@ -99,7 +99,7 @@
         }
         _ => {
             if outcome.ran() == Ran::Yes && !journey.is_stream() {
-                ticket.first();
+                ticket.on_first_event();
             }
             return Ok(Reply {
                 head,
@@ -115,13 +115,13 @@
 }
 
 /// Takes what the server says of itself: it binds all that is sent from here on.
-fn hear(journey: &Journey, ticket: &Ticket, server: &Chosen, head: &response::Parts) {
+fn hear(journey: &Journey, ticket: &Ticket, server: &SelectedServer, head: &response::Parts) {
     let dialect = &journey.node.dialect;
     if dialect.is_leaving(&head.headers) {
-        journey.pool.on_leaving(ticket.idx, server);
+        journey.pool.on_draining(ticket.idx, server);
     }
     if let Some(time) = dialect.rest(head.status, &head.headers) {
-        journey.pool.on_rest(ticket.idx, server, time);
+        journey.pool.on_backoff(ticket.idx, server, time);
     }
 }
 
@@ -138,12 +138,12 @@
     }
 }
 
-fn build(journey: &Journey, server: &Chosen, resume: Option<u64>) -> Request<Full<Bytes>> {
+fn build(journey: &Journey, server: &SelectedServer, resume: Option<u64>) -> Request<Full<Bytes>> {
     let parcel = &journey.parcel;
     let workspace = journey.workspace.as_deref();
     let priority = workspace.and_then(|workspace| workspace.priority);
     let order = Order {
-        server: &server.start.name,
+        server: &server.instance.name,
         workspace: workspace.map(|workspace| &workspace.name),
         left: journey.left(),
         priority: Some(priority.unwrap_or(journey.route.priority)),
--- a/crates/gateway/src/serve/journey.rs
+++ b/crates/gateway/src/serve/journey.rs
@@ -21,7 +21,7 @@
 use super::relay;
 use crate::dialect::Ask;
 use crate::fingerprint::Origin;
-use crate::fleet::{Pool, Wish};
+use crate::fleet::{Pool, ServerCriteria};
 use crate::model::{Replay, Route, RouteKind, Workspace};
 use crate::node::{InFlight, Node};
 use crate::proof::{Outcome, Ran};
@@ -207,7 +207,7 @@
         resume: Option<u64>,
     ) -> Result<Reply, Refusal> {
         loop {
-            if let Some(rest) = self.node.quarantine.rest(&self.origin) {
+            if let Some(rest) = self.node.quarantine.remaining_hold(&self.origin) {
                 return Err(hold(trail, rest));
             }
             let Some((server, ticket)) = self.pool.send(&self.wish(trail)) else {
@@ -215,7 +215,7 @@
             };
             let idx = ticket.idx;
             let until = self.until(trail);
-            let name = server.start.name.clone();
+            let name = server.instance.name.clone();
             let chosen = server.clone();
             let outcome = match attempt(self, server, ticket, resume, until).await {
                 Ok(reply) => {
@@ -231,7 +231,9 @@
             trail.note(outcome);
             let is_broken = outcome == Outcome::Lost;
             if is_broken {
-                self.node.quarantine.on_break(&chosen, &self.origin);
+                self.node
+                    .quarantine
+                    .on_broken_attempt(&chosen, &self.origin);
             }
             event!(
                 info,
@@ -254,22 +256,22 @@
     }
 
     /// What it asks of the server that is to get it next.
-    fn wish<'a>(&'a self, trail: &'a Trail) -> Wish<'a> {
-        Wish {
+    fn wish<'a>(&'a self, trail: &'a Trail) -> ServerCriteria<'a> {
+        ServerCriteria {
             prefix: self.ask.prefix,
             prompt: self.prompt(),
-            aim: self.route.aim,
+            latency_target: self.route.latency_target,
             domains: self.domains.as_ref(),
             exclude: &trail.tried,
             route: Some(&self.route.name),
-            may_try: trail.tried.is_empty(),
+            may_canary: trail.tried.is_empty(),
         }
     }
 
     /// What the caller hears when the request isn't sent again.
     fn give_up(&self, trail: &Trail) -> Refusal {
         if trail.runs == 0 {
-            return Refusal::NoServer(self.pool.back_in().unwrap_or(SERVER_WAIT));
+            return Refusal::NoServer(self.pool.retry_after().unwrap_or(SERVER_WAIT));
         }
         Refusal::Lost
     }
@@ -277,7 +279,7 @@
     /// Whether the request may be sent once more, and the fleet's retries allow it.
     pub(super) fn may_retry(&self, trail: &Trail, outcome: Outcome) -> bool {
         let may = outcome.may_retry(self.route.replay())
-            && trail.runs < self.route.attempts.max(1)
+            && trail.runs < self.route.max_attempts.max(1)
             && trail.sends() < OFFERS
             && !self.left().is_zero();
         may && (!outcome.has_arrived() || self.pool.retries.take())
@@ -286,7 +288,7 @@
     /// When to give up waiting for a server's head: where another may be asked, half of
     /// the time is left for it.
     fn until(&self, trail: &Trail) -> Instant {
-        let is_last = trail.runs + 1 >= self.route.attempts;
+        let is_last = trail.runs + 1 >= self.route.max_attempts;
         if self.route.replay() == Replay::Never || is_last {
             return self.deadline;
         }
@@ -308,7 +310,7 @@
                 info,
                 "request.failed",
                 id = self.id(),
-                server = server.start.name,
+                server = server.instance.name,
                 status = head.status.as_u16(),
                 next = "another server",
             );
@@ -336,12 +338,14 @@
                     info,
                     "request.truncated",
                     id = self.id(),
-                    server = server.start.name,
+                    server = server.instance.name,
                     print = self.origin.print(),
                     error = error,
                 );
                 ticket.fail(ErrorKind::Broken);
-                self.node.quarantine.on_break(&server, &self.origin);
+                self.node
+                    .quarantine
+                    .on_broken_attempt(&server, &self.origin);
                 if self.may_retry(trail, Outcome::Truncated) {
                     return Err(Step::Again);
                 }
@@ -355,9 +359,9 @@
         match outcome {
             Outcome::Failed => ticket.fail(ErrorKind::Status),
             _ => {
-                ticket.end();
+                ticket.complete();
                 self.deliver_all();
-                self.node.quarantine.on_served(&self.origin);
+                self.node.quarantine.on_completed(&self.origin);
             }
         }
         event!(
@@ -366,7 +370,7 @@
             id = self.id(),
             route = self.route.name,
             workspace = self.workspace(),
-            server = server.start.name,
+            server = server.instance.name,
             status = head.status.as_u16(),
             attempts = trail.sends(),
             config = self.version,
@@ -394,7 +398,7 @@
             reason = refusal.as_str(),
             attempts = trail.sends(),
             runs = trail.runs,
-            open = self.pool.open(),
+            open = self.pool.open_len(),
             config = self.version,
             ms = self.start.elapsed().as_millis(),
         );
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -151,8 +151,8 @@
             }
         };
         match end {
-            End::Broken => journey.node.quarantine.on_break(&reply.server, &journey.origin),
-            End::Whole => journey.node.quarantine.on_served(&journey.origin),
+            End::Broken => journey.node.quarantine.on_broken_attempt(&reply.server, &journey.origin),
+            End::Whole => journey.node.quarantine.on_completed(&journey.origin),
             End::Timeout | End::Cut => {}
         }
         let cutter = EventCutter::new();
@@ -174,7 +174,7 @@
         let _guard = guard;
         let mut cutter = EventCutter::new();
         let mut pauses = Pauses::default();
-        let stride = journey.pool.spec().stride.unwrap_or(1);
+        let stride = journey.pool.spec().max_event_tokens.unwrap_or(1);
         let quarantine = Arc::clone(&journey.node.quarantine);
         let held = Arc::clone(&quarantine).until_held(Arc::clone(&journey.origin));
         tokio::pin!(held);
@@ -199,13 +199,13 @@
                 let Some(events) = cutter.push(&piece) else {
                     continue;
                 };
-                reply.ticket.first();
+                reply.ticket.on_first_event();
                 began.get_or_insert_with(Instant::now);
                 if pauses.on_event(journey.start, Instant::now()) {
                     journey.node.metrics.first_event(journey.start.elapsed());
                 }
                 if let Some(flow) = pauses.flow() {
-                    reply.ticket.flow(flow);
+                    reply.ticket.on_flow(flow);
                 }
                 if let Some(spend) = &mut journey.spend {
                     spend.deliver(cutter.events() * stride);
@@ -214,9 +214,9 @@
             };
             match end {
                 End::Broken if !runs_well(began) => {
-                    quarantine.on_break(&reply.server, &journey.origin);
+                    quarantine.on_broken_attempt(&reply.server, &journey.origin);
                 }
-                End::Whole => quarantine.on_served(&journey.origin),
+                End::Whole => quarantine.on_completed(&journey.origin),
                 End::Broken | End::Timeout | End::Cut => {}
             }
             if end == End::Broken
@@ -262,7 +262,7 @@
         info,
         "request.resumed",
         id = journey.id(),
-        broken = broken.server.start.name,
+        broken = broken.server.instance.name,
         print = journey.origin.print(),
         after = last.unwrap_or(0),
     );
@@ -284,7 +284,7 @@
         id = journey.id(),
         route = journey.route.name,
         workspace = journey.workspace(),
-        server = reply.server.start.name,
+        server = reply.server.instance.name,
         end = end.as_str(),
         events = cutter.events(),
         prompt = journey.ask.usage.map_or(0, |usage| usage.prompt),
@@ -309,14 +309,14 @@
         ..
     } = reply;
     if pauses.count > 0 {
-        ticket.pace(pauses.sum / pauses.count);
+        ticket.on_mean_gap(pauses.sum / pauses.count);
     }
     match end {
         End::Whole => {
             if let Some(keep) = journey.keep(&head.headers) {
                 lease.recycle_for(keep);
             }
-            ticket.end();
+            ticket.complete();
         }
         End::Broken => ticket.fail(ErrorKind::Broken),
         End::Timeout => ticket.time_out(),
--- a/crates/gateway/src/serve/surface.rs
+++ b/crates/gateway/src/serve/surface.rs
@@ -94,13 +94,13 @@
         let workspace = find_workspace(&config, &route, &ask);
         let workspace = workspace.map_err(|refusal| self.unknown(refusal))?;
         let body = request
-            .body(config.limits.body)
+            .body(config.limits.max_body)
             .await
             .map_err(refuse_body)?;
         node.traffic
             .received(head_bytes(request.headers()) + body.len());
         let origin = Arc::new(origin(workspace.as_deref(), &request, &body));
-        if let Some(rest) = node.quarantine.rest(&origin) {
+        if let Some(rest) = node.quarantine.remaining_hold(&origin) {
             let print = origin.print();
             event!(info, "request.held", id = ask.id(), print = print);
             return Err(Refusal::Held(rest));
@@ -115,8 +115,8 @@
         pool.on_request();
         let homes = workspace
             .as_ref()
-            .map_or(&[][..], |workspace| &workspace.homes);
-        let domains = at_home(&route.homes, homes, &node.settings.regions);
+            .map_or(&[][..], |workspace| &workspace.allowed_regions);
+        let domains = at_home(&route.allowed_regions, homes, &node.settings.regions);
         Ok(Journey {
             node: Arc::clone(node),
             pool,
@@ -162,7 +162,7 @@
         let Some(book) = self.node.books.get(&workspace.name) else {
             return Ok(None);
         };
-        let wait = (route.aim / RIGHTS_PART).max(RIGHTS_LEAST);
+        let wait = (route.latency_target / RIGHTS_PART).max(RIGHTS_LEAST);
         let patience = Patience { wait, time };
         let missing = match self.remote.reserve(&book, usage, patience).await {
             Ok(spend) => return Ok(Some(spend)),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use swiftlink_rollout::Terms;
+use swiftlink_rollout::ExposureLimit;
 use swiftlink_types::{DomainName, RegionName, VmName};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -42,7 +42,7 @@
     /// How many retries the whole fleet may send.
     pub retries: RetryTerms,
     /// How much of a pool's traffic a bad version may get; `None`: there are no roll-outs.
-    pub rollouts: Option<Terms>,
+    pub rollouts: Option<ExposureLimit>,
     /// Partitions that the accounts' feed may have.
     pub parts: u32,
 }
--- a/crates/gateway/src/standing.rs
+++ b/crates/gateway/src/standing.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use swiftlink_types::Start;
+use swiftlink_types::ServerInstance;
 
 use crate::clock::steady_millis;
 use crate::domains::Domain;
@@ -150,12 +150,12 @@
 
 /// What all servers have said.
 #[derive(Debug, Default)]
-pub struct Words(Mutex<HashMap<Start, Kept>>);
+pub struct Words(Mutex<HashMap<ServerInstance, Kept>>);
 
 impl Words {
     /// What a start that is listed now has said.
     #[must_use]
-    pub fn of(&self, start: &Start) -> Arc<Word> {
+    pub fn of(&self, start: &ServerInstance) -> Arc<Word> {
         let mut words = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = words.entry(start.clone()).or_insert_with(|| Kept {
             word: Arc::default(),
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -18,7 +18,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use swiftlink_routing::ErrorKind;
-use swiftlink_types::Start;
+use swiftlink_types::ServerInstance;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -92,11 +92,11 @@
 impl Endpoint {
     /// A start of a server.
     #[must_use]
-    pub fn of(address: SocketAddr, start: &Start) -> Self {
+    pub fn of(address: SocketAddr, start: &ServerInstance) -> Self {
         let name = start.name.as_str().as_bytes();
         Self {
             address,
-            start: xxh3_64_with_seed(name, start.born),
+            start: xxh3_64_with_seed(name, start.started),
         }
     }
 }
--- a/crates/gateway/src/watch/config.rs
+++ b/crates/gateway/src/watch/config.rs
@@ -93,7 +93,7 @@
             }
         }
         if changed {
-            self.node.pools.set_emptied(self.emptied.domains());
+            self.node.pools.set_drained_domains(self.emptied.domains());
         }
     }
 
--- a/crates/gateway/src/watch/directory.rs
+++ b/crates/gateway/src/watch/directory.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use swiftlink_telemetry::event;
-use swiftlink_types::{ServerName, Start, WallMs};
+use swiftlink_types::{ServerInstance, ServerName, WallMs};
 use tokio::time::Instant;
 
 use super::follow::Follow;
@@ -77,7 +77,10 @@
             warmup: Duration::ZERO,
             ..entry
         };
-        let Start { name, born } = entry.start.clone();
+        let ServerInstance {
+            name,
+            started: born,
+        } = entry.instance.clone();
         let newest = self.born.get(&name).copied().unwrap_or(0);
         if born == 0 && newest > 0 {
             self.spoil(&name);
@@ -274,7 +277,10 @@
     /// Takes an entry that could be read.
     fn list(&mut self, entry: ServerEntry, offset: u64, is_told: bool) -> Took {
         let listing = self.directory.put(entry.clone());
-        let Start { name, born } = entry.start;
+        let ServerInstance {
+            name,
+            started: born,
+        } = entry.instance;
         match listing {
             Listing::Known => {
                 return Took {
--- a/crates/gateway/src/watch/interest.rs
+++ b/crates/gateway/src/watch/interest.rs
@@ -99,7 +99,7 @@
 }
 
 fn place(entry: &ServerEntry) -> Place {
-    let name = &entry.start.name;
+    let name = &entry.instance.name;
     (
         entry.draining,
         xxh3_64(name.as_str().as_bytes()),
--- a/crates/gateway/src/watch/interest/tests.rs
+++ b/crates/gateway/src/watch/interest/tests.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use swiftlink_types::{DomainName, PoolName, ServerName, Start};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName};
 
 use super::Interest;
 use crate::catalog::ServerEntry;
@@ -13,7 +13,7 @@
 
 fn entry(number: usize, draining: bool) -> ServerEntry {
     ServerEntry {
-        start: Start::from(ServerName::from(format!("s{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("s{number}"))),
         pool: PoolName::from("pool"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         domain: DomainName::from(format!("d{}", number % DOMAINS)),
@@ -60,7 +60,7 @@
 fn servers_that_leave_make_room_for_others_of_their_domain() {
     let (mut interest, chosen) = listed(10_000);
     for number in 0..10_000 {
-        if chosen.contains(&entry(number, false).start.name) {
+        if chosen.contains(&entry(number, false).instance.name) {
             assert!(interest.remove(&entry(number, false)), "it was needed");
             interest.put(&entry(number, true));
         }
--- a/crates/gateway/src/watch/orders.rs
+++ b/crates/gateway/src/watch/orders.rs
@@ -21,7 +21,7 @@
         let order = Order {
             pool: change.pool.clone(),
             version: version.clone(),
-            time: *time,
+            time_limit: *time,
             number: offset,
         };
         event!(
@@ -29,7 +29,7 @@
             "rollout.in_force",
             pool = order.pool,
             version = order.version,
-            secs = order.time.as_secs_f32(),
+            secs = order.time_limit.as_secs_f32(),
             order = order.number,
         );
         self.0.insert(key.to_owned(), order.clone()) != Some(order)
--- a/crates/gateway/tests/testsuite/book.rs
+++ b/crates/gateway/tests/testsuite/book.rs
@@ -20,14 +20,14 @@
     let workspace = Arc::new(Workspace {
         name: WorkspaceName::from("acme"),
         priority: None,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         prepaid,
     });
     Config {
         version: 1,
         routes: RouteTable::default(),
         pools: HashMap::new(),
-        limits: RequestLimits { body: 1_000 },
+        limits: RequestLimits { max_body: 1_000 },
         workspaces: HashMap::from([(workspace.name.clone(), workspace)]),
         keys: HashMap::new(),
     }
--- a/crates/gateway/tests/testsuite/cap.rs
+++ b/crates/gateway/tests/testsuite/cap.rs
@@ -5,8 +5,8 @@
 
 use proptest::prelude::*;
 use swiftlink_gateway::clock::Reading;
+use swiftlink_gateway::peer_clocks::ClockReading;
 use swiftlink_gateway::rights::cap::{Cap, base, draw, elapsed, middle_start, room};
-use swiftlink_gateway::sightings::Sighting;
 use swiftlink_types::Tokens;
 
 fn reading(boot: &str, steady: u64, wall: u64) -> Reading {
@@ -66,7 +66,7 @@
     ) {
         // The process's clock is `ahead` of the asking router's.
         let read = asked + way;
-        let sighting = Sighting { steady: read + ahead, asked };
+        let sighting = ClockReading { steady: read + ahead, asked };
         let now = read.max(stamp) + more;
         let most = sighting.since(stamp + ahead, now);
         prop_assert!(most >= millis(now - stamp));
--- a/crates/gateway/tests/testsuite/freshness.rs
+++ b/crates/gateway/tests/testsuite/freshness.rs
@@ -12,7 +12,7 @@
 use swiftlink_gateway::store::{Feed, Late, MemStore, Page, Store, StoreError};
 use swiftlink_gateway::watch::Reader;
 use swiftlink_gateway::{Catalog, Node};
-use swiftlink_types::{DomainName, PoolName, ServerName, Start};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName};
 use tokio::time::{Instant, advance, sleep};
 
 use crate::clock::TestClock;
@@ -222,7 +222,7 @@
 
     fn server(&self, key: &str, _value: &[u8]) -> Result<ServerEntry, CatalogError> {
         Ok(ServerEntry {
-            start: Start::from(ServerName::from(key)),
+            instance: ServerInstance::from(ServerName::from(key)),
             pool: PoolName::from("pool"),
             address: SocketAddr::from(([127, 0, 0, 1], 9)),
             domain: DomainName::from("a"),
@@ -248,13 +248,13 @@
     for round in 0..28 {
         let entry = Some(Bytes::from_static(b"1"));
         store.store.put(Feed::Servers, "s", entry);
-        while pool.open() == 0 {
+        while pool.open_len() == 0 {
             sleep(Duration::from_millis(10)).await;
         }
         sleep(Duration::from_millis(5_000 + 70 * round)).await;
         let left = Instant::now();
         store.store.put(Feed::Servers, "s", None);
-        while pool.open() > 0 {
+        while pool.open_len() > 0 {
             sleep(Duration::from_millis(10)).await;
         }
         // The queue once for the answer and once for the one before it, and a pause.
--- a/crates/gateway/tests/testsuite/losses.rs
+++ b/crates/gateway/tests/testsuite/losses.rs
@@ -11,9 +11,9 @@
 use swiftlink_gateway::clock::Clock;
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::model::Workspace;
+use swiftlink_gateway::peer_clocks::ClockReading;
 use swiftlink_gateway::rights::holders::Placement;
 use swiftlink_gateway::rights::{Book, Witness};
-use swiftlink_gateway::sightings::Sighting;
 use swiftlink_gateway::store::{Feed, MemStore, StoreFault};
 use swiftlink_types::WorkspaceName;
 use tokio::time::{Instant, sleep};
@@ -36,7 +36,7 @@
 #[async_trait]
 impl Witness for Peer {
     async fn since(&self, _process: u64, stamp: u64) -> Option<Duration> {
-        let sighting = Sighting {
+        let sighting = ClockReading {
             steady: self.ended - 100,
             asked: 0,
         };
@@ -287,7 +287,7 @@
     let other = Arc::new(Workspace {
         name: WorkspaceName::from("other"),
         priority: None,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         prepaid: Some(PREPAID),
     });
     both.workspaces.insert(other.name.clone(), other);
--- a/crates/gateway/tests/testsuite/net.rs
+++ b/crates/gateway/tests/testsuite/net.rs
@@ -12,11 +12,11 @@
 use rand::RngExt;
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::model::{Config, Workspace};
+use swiftlink_gateway::peer_clocks::ClockReading;
 use swiftlink_gateway::rights::holders::{Member, Placement};
 use swiftlink_gateway::rights::{
     Book, Books, Calls, Claims, Missing, NoRights, Patience, Remote, Reservations, Spend, Witness,
 };
-use swiftlink_gateway::sightings::Sighting;
 use swiftlink_gateway::store::{Feed, MemStore, Store};
 use swiftlink_link::LinkError;
 use swiftlink_types::{DomainName, VmName, WorkspaceName};
@@ -59,7 +59,7 @@
         let workspace = Workspace {
             name: WorkspaceName::from(format!("w{index}")),
             priority: None,
-            homes: Vec::new(),
+            allowed_regions: Vec::new(),
             prepaid: Some(prepaid),
         };
         all.workspaces
@@ -156,7 +156,7 @@
 impl Witness for Net {
     async fn since(&self, process: u64, stamp: u64) -> Option<Duration> {
         let (steady, asked) = *self.seen.lock().expect("a lock").get(&process)?;
-        let sighting = Sighting { steady, asked: 0 };
+        let sighting = ClockReading { steady, asked: 0 };
         let now = u64::try_from(asked.elapsed().as_millis()).ok()?;
         Some(sighting.since(stamp, now))
     }
--- a/crates/gateway/tests/testsuite/spread.rs
+++ b/crates/gateway/tests/testsuite/spread.rs
@@ -10,11 +10,12 @@
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use swiftlink_gateway::quarantine::{
-    Cases, ENDS, HOLD, Held, OBSERVERS, PASSED_ON, ROUNDS, ServerEnd, ranking,
+    CRASHES_TO_HOLD, CrashHistory, GOSSIP_FANOUT, GOSSIP_ROUNDS, HeldRequest, INITIAL_HOLD,
+    OBSERVERS, ServerCrash, ranking,
 };
-use swiftlink_types::{DomainName, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, ServerInstance, ServerName, VmName};
 
-use crate::quarantine::print;
+use crate::quarantine::fingerprint;
 
 /// Sends that are allowed after as many ends as show what a request does.
 const MORE: usize = 3;
@@ -31,11 +32,11 @@
 /// A message under way, by when it arrives.
 struct Mail {
     to: usize,
-    ends: Vec<ServerEnd>,
+    ends: Vec<ServerCrash>,
 }
 
 struct Fleet {
-    cases: Vec<Cases>,
+    cases: Vec<CrashHistory>,
     is_up: Vec<bool>,
     /// Links that carry nothing, in this direction.
     cut: HashSet<(usize, usize)>,
@@ -58,7 +59,7 @@
         let links = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
         let cut = links.filter(|_| rng.random_bool(cut)).collect();
         Self {
-            cases: (0..count).map(|_| Cases::default()).collect(),
+            cases: (0..count).map(|_| CrashHistory::default()).collect(),
             is_up: (0..count).map(|_| !rng.random_bool(gone)).collect(),
             cut,
             ranked,
@@ -73,13 +74,13 @@
         self.is_up[to] && !is_cut
     }
 
-    fn post(&mut self, at: u64, to: usize, ends: Vec<ServerEnd>) {
+    fn post(&mut self, at: u64, to: usize, ends: Vec<ServerCrash>) {
         self.mail.entry(at).or_default().push(Mail { to, ends });
     }
 
     /// A router tells observers, in the place of those that are silent the next ones, and hears
     /// what the request is held for.
-    fn tell(&mut self, now: u64, from: usize, end: &ServerEnd) {
+    fn tell(&mut self, now: u64, from: usize, end: &ServerCrash) {
         let is_small = self.cases.len() <= 17;
         let all: Vec<usize> = match is_small {
             true => (0..self.cases.len()).collect(),
@@ -103,7 +104,7 @@
                 }
                 told += 1;
                 self.post(at, to, vec![end.clone()]);
-                let proofs = self.cases[to].proofs();
+                let proofs = self.cases[to].evidence();
                 if !proofs.is_empty() {
                     self.post(at + DELAY, from, proofs);
                 }
@@ -112,16 +113,16 @@
         }
     }
 
-    fn pass_on(&mut self, now: u64, from: usize, held: &[Held]) {
-        let ends: Vec<ServerEnd> = held.iter().flat_map(Held::proofs).collect();
+    fn pass_on(&mut self, now: u64, from: usize, held: &[HeldRequest]) {
+        let ends: Vec<ServerCrash> = held.iter().flat_map(HeldRequest::evidence).collect();
         if ends.is_empty() || self.cases.len() <= 17 {
             return;
         }
         let mut at = now + DELAY;
-        for round in 0..u64::from(ROUNDS) {
+        for round in 0..u64::from(GOSSIP_ROUNDS) {
             at += PAUSE * round;
             let others = (0..self.cases.len()).filter(|to| *to != from);
-            for to in others.sample(&mut self.rng, PASSED_ON) {
+            for to in others.sample(&mut self.rng, GOSSIP_FANOUT) {
                 if self.reaches(from, to) {
                     self.post(at, to, ends.clone());
                 }
@@ -129,10 +130,10 @@
         }
     }
 
-    fn take(&mut self, now: u64, to: usize, ends: &[ServerEnd]) {
-        let held: Vec<Held> = ends
+    fn take(&mut self, now: u64, to: usize, ends: &[ServerCrash]) {
+        let held: Vec<HeldRequest> = ends
             .iter()
-            .flat_map(|end| self.cases[to].on_end(now, end).held)
+            .flat_map(|end| self.cases[to].on_crash(now, end).held)
             .collect();
         self.pass_on(now, to, &held);
     }
@@ -151,20 +152,27 @@
                 continue;
             }
             let router = up[self.rng.random_range(0..up.len())];
-            if self.cases[router].rest(&print(7), now).is_some() {
+            if self.cases[router]
+                .remaining_hold(&fingerprint(7), now)
+                .is_some()
+            {
                 continue;
             }
             ends.push(now);
-            let end = ServerEnd {
-                start: Start::from(ServerName::from(format!("i-{now}").as_str())),
+            let end = ServerCrash {
+                instance: ServerInstance::from(ServerName::from(format!("i-{now}").as_str())),
                 at: now,
-                prints: HashSet::from([print(7)]),
+                fingerprints: HashSet::from([fingerprint(7)]),
                 seen_by: BTreeSet::from([VmName::from(format!("vm-{router}").as_str())]),
             };
             self.take(now, router, std::slice::from_ref(&end));
             self.tell(now, router, &end);
         }
-        let holds = |one: &&usize| self.cases[**one].rest(&print(7), 120_000).is_some();
+        let holds = |one: &&usize| {
+            self.cases[**one]
+                .remaining_hold(&fingerprint(7), 120_000)
+                .is_some()
+        };
         let held = up.iter().filter(holds).count();
         (ends, held)
     }
@@ -172,12 +180,15 @@
 
 #[test]
 fn all_routers_of_a_whole_fleet_hold_it_after_three_ends() {
-    assert!(HOLD.as_millis() > 120_000, "a hold outlives the play");
+    assert!(
+        INITIAL_HOLD.as_millis() > 120_000,
+        "a hold outlives the play"
+    );
     for count in [7, 75, 300] {
         for seed in 0..6 {
             let mut fleet = Fleet::new(count, 0.0, 0.0, seed);
             let (ends, held) = fleet.play();
-            assert_eq!(ends.len(), ENDS, "{count} routers");
+            assert_eq!(ends.len(), CRASHES_TO_HOLD, "{count} routers");
             assert_eq!(held, count);
         }
     }
@@ -190,7 +201,7 @@
         for seed in 0..6 {
             let mut fleet = Fleet::new(count, 0.33, 0.1, seed);
             let (ends, _) = fleet.play();
-            let known = ends[ENDS - 1] + WINDOW;
+            let known = ends[CRASHES_TO_HOLD - 1] + WINDOW;
             let late = ends.iter().filter(|at| **at > known).count();
             assert!(late <= MORE, "{count} routers, seed {seed}: {ends:?}");
         }
--- a/crates/gateway/tests/testsuite/starts.rs
+++ b/crates/gateway/tests/testsuite/starts.rs
@@ -9,11 +9,11 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use swiftlink_gateway::catalog::{CatalogError, ServerEntry};
-use swiftlink_gateway::fleet::{Pool, Wish};
+use swiftlink_gateway::fleet::{Pool, ServerCriteria};
 use swiftlink_gateway::model::Config;
 use swiftlink_gateway::store::{Feed, MemStore, StoreFault};
 use swiftlink_gateway::{Catalog, Node};
-use swiftlink_types::{DomainName, PoolName, ServerName, Start, WallMs};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName, WallMs};
 use tokio::time::sleep;
 
 use crate::watch::{NoDialect, follow_alone};
@@ -70,7 +70,7 @@
             reason: "something else".to_owned(),
         })?;
         Ok(ServerEntry {
-            start: Start::new(ServerName::from(key), born),
+            instance: ServerInstance::new(ServerName::from(key), born),
             pool: PoolName::from("pool"),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             domain: DomainName::from("a"),
@@ -136,16 +136,16 @@
     let mut used = BTreeMap::new();
     let mut tried = Vec::new();
     loop {
-        let wish = Wish {
-            aim: Duration::from_secs(1),
+        let wish = ServerCriteria {
+            latency_target: Duration::from_secs(1),
             exclude: &tried,
-            ..Wish::default()
+            ..ServerCriteria::default()
         };
         let Some((server, ticket)) = pool.send(&wish) else {
             break;
         };
-        let place = (server.start.born, server.address.port());
-        used.insert(server.start.name.to_string(), place);
+        let place = (server.instance.started, server.address.port());
+        used.insert(server.instance.name.to_string(), place);
         tried.push(ticket.idx);
     }
     used
--- a/crates/gateway/tests/testsuite/watch.rs
+++ b/crates/gateway/tests/testsuite/watch.rs
@@ -10,7 +10,7 @@
 use swiftlink_gateway::dialect::{Ask, Order, Verdict};
 use swiftlink_gateway::store::{Feed, Late, MemStore, Page, Store, StoreError, StoreFault};
 use swiftlink_gateway::watch::{self, Directory, Listing, News, Others, Reader, Told};
-use swiftlink_types::{DomainName, PoolName, ServerName, Start};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName};
 use tokio::time::Instant;
 
 const NO_WAIT: Duration = Duration::ZERO;
@@ -78,7 +78,7 @@
 
 fn server(name: &str) -> ServerEntry {
     ServerEntry {
-        start: Start::from(ServerName::from(name)),
+        instance: ServerInstance::from(ServerName::from(name)),
         pool: PoolName::from("pool"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         domain: DomainName::from("a"),
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -13,7 +13,7 @@
     ErrorKind, ExpectedWait, Fleet, FleetPolicy, ListedVm, LoadReport, Pick, RetryBudget, Sent,
     ServerIdx, ServerSpec, ServerView,
 };
-use swiftlink_types::{DomainName, Micros, PoolName, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, PoolName, ServerInstance, ServerName};
 use tokio::time::Instant;
 
 use crate::queue::PoolQueue;
@@ -170,12 +170,12 @@
             let spec = &server.spec;
             addresses.insert(server.name.clone(), spec.address);
             specs.push(ServerSpec {
-                start: Start::from(server.name.clone()),
+                instance: ServerInstance::from(server.name.clone()),
                 domain: spec.domain.clone(),
                 vm: spec.vm.clone(),
                 slots: spec.slots,
                 drain: spec.drain,
-                is_trial: false,
+                is_canary: false,
                 cold_until: 0,
             });
         }
--- a/crates/routing/src/fleet/members.rs
+++ b/crates/routing/src/fleet/members.rs
@@ -23,12 +23,12 @@
     /// stays is kept; nothing of one that started again: it holds no prompt, runs no request,
     /// and isn't ejected for what ended with the start before.
     pub fn set_config(&mut self, specs: &[ServerSpec]) {
-        let kept: HashSet<&ServerName> = specs.iter().map(|spec| &spec.start.name).collect();
+        let kept: HashSet<&ServerName> = specs.iter().map(|spec| &spec.instance.name).collect();
         self.by_name.retain(|name, _| kept.contains(name));
         let mut free = self.free_slots();
         for spec in specs {
-            let slot = match self.by_name.get(&spec.start.name) {
-                Some(slot) if self.servers[*slot as usize].start == spec.start => *slot,
+            let slot = match self.by_name.get(&spec.instance.name) {
+                Some(slot) if self.servers[*slot as usize].instance == spec.instance => *slot,
                 Some(slot) => self.replace(*slot, spec),
                 None => self.add(spec, free.next()),
             };
@@ -75,7 +75,7 @@
             Some(place) => *place = server,
             None => self.servers.push(server),
         }
-        self.by_name.insert(spec.start.name.clone(), slot);
+        self.by_name.insert(spec.instance.name.clone(), slot);
         slot
     }
 
@@ -97,7 +97,7 @@
         server.vm = spec.vm.clone();
         server.slots = spec.slots;
         server.is_drained = spec.drain;
-        server.is_trial = spec.is_trial;
+        server.is_canary = spec.is_canary;
         server.is_emptied = self.emptied.contains(&spec.domain);
         server.cold_until = server.cold_until.max(spec.cold_until);
         server.is_home = is_home;
@@ -128,19 +128,19 @@
 }
 
 fn new_server(spec: &ServerSpec, generation: u32) -> Server {
-    let name = spec.start.name.as_str().as_bytes();
+    let name = spec.instance.name.as_str().as_bytes();
     Server {
-        start: spec.start.clone(),
+        instance: spec.instance.clone(),
         domain: spec.domain.clone(),
         vm: spec.vm.clone(),
         hash: xxh3_64_with_seed(name, NAME_SEED),
-        start_hash: xxh3_64_with_seed(name, spec.start.born),
+        start_hash: xxh3_64_with_seed(name, spec.instance.started),
         generation,
         slots: spec.slots,
         is_home: false,
         is_member: false,
         is_drained: spec.drain,
-        is_trial: spec.is_trial,
+        is_canary: spec.is_canary,
         is_listed_out: false,
         is_emptied: false,
         is_resting: false,
--- a/crates/routing/src/fleet/notes.rs
+++ b/crates/routing/src/fleet/notes.rs
@@ -37,7 +37,7 @@
             }
             let news = std::mem::take(&mut server.news);
             notes.push(Note {
-                server: server.start.clone(),
+                server: server.instance.clone(),
                 unread: server.unread.own(),
                 flows: news.flows,
                 prefixes: news.prefixes,
@@ -54,7 +54,7 @@
         };
         if self
             .get(idx)
-            .is_none_or(|server| *server.start() != note.server)
+            .is_none_or(|server| *server.instance() != note.server)
         {
             return;
         }
--- a/crates/routing/src/note.rs
+++ b/crates/routing/src/note.rs
@@ -1,6 +1,6 @@
 //! What routers tell each other of the servers.
 
-use swiftlink_types::Start;
+use swiftlink_types::ServerInstance;
 
 use crate::flow::Flow;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
     /// The start of the server that they are of.
-    pub server: Start,
+    pub server: ServerInstance,
     /// Tokens of the router's prompts that the server still has to read.
     pub unread: u64,
     /// How the events of its streams lately followed each other.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -35,7 +35,7 @@
     /// Failure domains that the request may go to; all where there is nothing.
     pub domains: Option<&'a HashSet<DomainName>>,
     /// Whether it is one of a trial, which certain servers are for.
-    pub is_trial: bool,
+    pub is_canary: bool,
     /// Whether the request may be the probe of an ejected server; not for one that
     /// may run at most once.
     pub may_probe: bool,
@@ -169,7 +169,7 @@
 
     /// Whether the request was tried there, or may not go to the server or to its failure domain.
     pub(crate) fn is_excluded(&self, slot: u32) -> bool {
-        if self.server(slot).is_trial != self.pick.is_trial {
+        if self.server(slot).is_canary != self.pick.is_canary {
             return true;
         }
         let domain = self.server(slot).domain();
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,6 +1,6 @@
 //! What a router knows of one backend server.
 
-use swiftlink_types::{DomainName, Micros, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName, VmName};
 
 use crate::flow::Pace;
 use crate::health::Health;
@@ -47,7 +47,7 @@
 /// State of one start of a server, as policies see it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub(crate) start: Start,
+    pub(crate) instance: ServerInstance,
     pub(crate) domain: DomainName,
     pub(crate) vm: Option<VmName>,
     pub(crate) hash: u64,
@@ -58,7 +58,7 @@
     pub(crate) is_member: bool,
     pub(crate) is_drained: bool,
     /// Whether it takes the requests of a trial, and no others.
-    pub(crate) is_trial: bool,
+    pub(crate) is_canary: bool,
     pub(crate) is_listed_out: bool,
     /// Whether operators have emptied its failure domain.
     pub(crate) is_emptied: bool,
@@ -95,13 +95,13 @@
     /// Its name.
     #[must_use]
     pub fn name(&self) -> &ServerName {
-        &self.start.name
+        &self.instance.name
     }
 
     /// Its name, and when it started.
     #[must_use]
-    pub fn start(&self) -> &Start {
-        &self.start
+    pub fn instance(&self) -> &ServerInstance {
+        &self.instance
     }
 
     /// Its failure domain.
--- a/crates/routing/src/spec.rs
+++ b/crates/routing/src/spec.rs
@@ -1,6 +1,6 @@
 //! What a fleet is told: its settings, the configured servers, the VM list.
 
-use swiftlink_types::{DomainName, Micros, Start, VmName};
+use swiftlink_types::{DomainName, Micros, ServerInstance, VmName};
 
 use crate::health::HealthPolicy;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSpec {
     /// Its name, and when it started.
-    pub start: Start,
+    pub instance: ServerInstance,
     /// Its failure domain.
     pub domain: DomainName,
     /// Its VM, if the VM list knows it.
@@ -46,7 +46,7 @@
     /// Whether the operators want it to leave.
     pub drain: bool,
     /// Whether it takes the requests of a trial, and no others.
-    pub is_trial: bool,
+    pub is_canary: bool,
     /// Until when it is cold, in the clock of the fleet's calls; 0: it is warm.
     pub cold_until: Micros,
 }
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use swiftlink_routing::{Fleet, FleetPolicy, Pick, Prompt, Sent, ServerSpec, Unmixed, Warmup};
-use swiftlink_types::{DomainName, Micros, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 const SEC: Micros = 1_000_000;
 /// What a cold server bears (requests a second), and for how long a start makes it cold.
@@ -48,12 +48,12 @@
 
 fn specs(load: &Load, now: Micros, cold: bool) -> Vec<ServerSpec> {
     let spec = |server| ServerSpec {
-        start: Start::from(ServerName::from(format!("s{server}"))),
+        instance: ServerInstance::from(ServerName::from(format!("s{server}"))),
         domain: domain(server),
         vm: None,
         slots: 24,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: if cold && (load.is_cold)(server) {
             now + 3 * SEC
         } else {
@@ -113,7 +113,7 @@
                 shared: 6_300,
             },
             aim: 600_000,
-            is_trial: false,
+            is_canary: false,
             may_probe: true,
             ..Pick::default()
         };
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -8,7 +8,7 @@
     ErrorKind, ExpectedWait, Fleet, FleetPolicy, LeastReported, ListedVm, LoadReport, Pick, Policy,
     Random, RoundRobin, ServerIdx, ServerSpec, TwoChoices,
 };
-use swiftlink_types::{DomainName, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, ServerInstance, ServerName, VmName};
 
 const MS: u64 = 1_000;
 const SEC: u64 = 1_000_000;
@@ -19,12 +19,12 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number| ServerSpec {
-        start: Start::from(ServerName::from(format!("runner-{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("runner-{number}"))),
         domain: DomainName::from(["rennes-a", "brest"][number % 2]),
         vm: Some(VmName::from(format!("vm-{number}"))),
         slots: 8,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     (0..count).map(spec).collect()
@@ -44,7 +44,7 @@
 fn at(now: u64) -> Pick<'static> {
     Pick {
         now,
-        is_trial: false,
+        is_canary: false,
         may_probe: true,
         ..Pick::default()
     }
@@ -126,7 +126,7 @@
     assert_eq!(picks_of(&mut fleet, idx, SEC), 0);
     let due = 2 * SEC + 1;
     let once = Pick {
-        is_trial: false,
+        is_canary: false,
         may_probe: false,
         ..at(due)
     };
@@ -181,7 +181,7 @@
     }
     let now = 410 * MS;
     let once = Pick {
-        is_trial: false,
+        is_canary: false,
         may_probe: false,
         ..at(now)
     };
@@ -399,7 +399,7 @@
                     fleet.set_config(kept);
                 }
                 _ => {
-                    let name = &drained[number % 8].start.name;
+                    let name = &drained[number % 8].instance.name;
                     let exclude: Vec<_> = fleet.find(name).into_iter().collect();
                     let pick = Pick { prefix, exclude: &exclude, ..at(now) };
                     let sent = fleet.send(&pick, &mut rng);
--- a/crates/routing/tests/rests.rs
+++ b/crates/routing/tests/rests.rs
@@ -7,19 +7,19 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use swiftlink_routing::{Fleet, FleetPolicy, Pick, ServerIdx, ServerSpec, Unmixed};
-use swiftlink_types::{DomainName, Micros, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number: usize| ServerSpec {
-        start: Start::from(ServerName::from(format!("s{number}").as_str())),
+        instance: ServerInstance::from(ServerName::from(format!("s{number}").as_str())),
         domain: DomainName::from("a"),
         vm: None,
         slots: 8,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     (0..count).map(spec).collect()
@@ -40,7 +40,7 @@
 fn send(fleet: &mut Fleet, now: Micros, rng: &mut SmallRng) -> Option<ServerIdx> {
     let pick = Pick {
         now,
-        is_trial: false,
+        is_canary: false,
         may_probe: true,
         ..Pick::default()
     };
@@ -114,7 +114,7 @@
     fleet.on_report(one, 2 * SECOND, swiftlink_routing::LoadReport::default());
     assert_eq!(send(&mut fleet, 3 * SECOND, &mut rng), None);
     let mut next = specs(1);
-    next[0].start.born = 5;
+    next[0].instance.started = 5;
     fleet.set_config(&next);
     assert!(send(&mut fleet, 4 * SECOND, &mut rng).is_some());
 }
--- a/crates/routing/tests/starts.rs
+++ b/crates/routing/tests/starts.rs
@@ -4,7 +4,7 @@
 use swiftlink_routing::{
     ErrorKind, ExpectedWait, Fleet, FleetPolicy, LoadReport, Pick, ServerSpec,
 };
-use swiftlink_types::{DomainName, ServerName, Start};
+use swiftlink_types::{DomainName, ServerInstance, ServerName};
 
 const SEC: u64 = 1_000_000;
 /// What a busy server reports.
@@ -22,12 +22,12 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number| ServerSpec {
-        start: Start::from(ServerName::from(format!("runner-{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("runner-{number}"))),
         domain: DomainName::from("rennes-a"),
         vm: None,
         slots: 8,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     (0..count).map(spec).collect()
@@ -43,7 +43,7 @@
 fn at(now: u64) -> Pick<'static> {
     Pick {
         now,
-        is_trial: false,
+        is_canary: false,
         may_probe: true,
         ..Pick::default()
     }
@@ -52,7 +52,7 @@
 /// A server that started again under its name: its next start.
 fn started_again(specs: &[ServerSpec], place: usize, born: u64) -> Vec<ServerSpec> {
     let mut specs = specs.to_vec();
-    specs[place].start.born = born;
+    specs[place].instance.started = born;
     specs
 }
 
@@ -65,7 +65,7 @@
     let specs = specs(1);
     for _router in 0..300 {
         let mut fleet = fleet(1);
-        let idx = fleet.find(&specs[0].start.name).expect("known");
+        let idx = fleet.find(&specs[0].instance.name).expect("known");
         let sent = fleet.on_sent(idx, 0).expect("known");
         fleet.on_error(sent, SEC, ErrorKind::Misdirected);
         assert_eq!(fleet.pick(&at(2 * SEC), &mut rng), None);
@@ -83,7 +83,7 @@
 fn what_ends_late_says_nothing_of_the_next_start() {
     let specs = specs(1);
     let mut fleet = fleet(1);
-    let name = &specs[0].start.name;
+    let name = &specs[0].instance.name;
     let old = fleet.find(name).expect("known");
     let mut late: Vec<_> = (0..5).filter_map(|_| fleet.on_sent(old, 0)).collect();
     fleet.on_report(old, 1, LOADED);
--- a/crates/routing/tests/unmixed.rs
+++ b/crates/routing/tests/unmixed.rs
@@ -9,7 +9,7 @@
     Fleet, FleetPolicy, Flow, Note, Pick, Policy, Prompt, Rendezvous, Sent, ServerIdx, ServerSpec,
     Unmixed,
 };
-use swiftlink_types::{DomainName, ServerName, Start};
+use swiftlink_types::{DomainName, ServerInstance, ServerName};
 
 const MS: u64 = 1_000;
 const SEC: u64 = 1_000_000;
@@ -28,12 +28,12 @@
     let settings = FleetPolicy::new(DomainName::from("rennes-a"));
     let mut fleet = Fleet::new(settings, policy);
     let spec = |number| ServerSpec {
-        start: Start::from(name(number)),
+        instance: ServerInstance::from(name(number)),
         domain: DomainName::from("rennes-a"),
         vm: None,
         slots: 64,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     let specs: Vec<ServerSpec> = (0..count).map(spec).collect();
@@ -172,7 +172,7 @@
     let now = 30 * SEC;
     let home = fleet.pick(&pick(77, LONG, now), &mut rng).expect("one");
     let note = Note {
-        server: fleet.get(home).expect("known").start().clone(),
+        server: fleet.get(home).expect("known").instance().clone(),
         unread: 60_000,
         flows: Vec::new(),
         prefixes: Vec::new(),
@@ -209,7 +209,7 @@
     };
     one.on_flow(sent.idx, flow);
     let note = Note {
-        server: one.get(sent.idx).expect("known").start().clone(),
+        server: one.get(sent.idx).expect("known").instance().clone(),
         unread: 9_000,
         flows: vec![flow],
         prefixes: vec![9],
@@ -347,14 +347,14 @@
 #[test]
 fn notes_of_another_start_change_nothing() {
     let specs = |born| {
-        let start = Start::new(name(0), born);
+        let start = ServerInstance::new(name(0), born);
         [ServerSpec {
-            start,
+            instance: start,
             domain: DomainName::from("rennes-a"),
             vm: None,
             slots: 64,
             drain: false,
-            is_trial: false,
+            is_canary: false,
             cold_until: 0,
         }]
     };
@@ -373,7 +373,7 @@
     assert!(known < all, "{known} of {all}");
     fleet.set_config(&specs(6));
     let note = |born| Note {
-        server: Start::new(name(0), born),
+        server: ServerInstance::new(name(0), born),
         unread: 0,
         flows: Vec::new(),
         prefixes: vec![9],
--- a/crates/routing/tests/window.rs
+++ b/crates/routing/tests/window.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{Fleet, FleetPolicy, LoadReport, Pick, ServerSpec, Unmixed};
-use swiftlink_types::{DomainName, ServerName, Start};
+use swiftlink_types::{DomainName, ServerInstance, ServerName};
 
 /// Servers of the whole fleet's model pool.
 const SERVERS: usize = 9_600;
@@ -18,12 +18,12 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number: usize| ServerSpec {
-        start: Start::from(ServerName::from(format!("s{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("s{number}"))),
         domain: domain(number % DOMAINS),
         vm: None,
         slots: 32,
         drain: false,
-        is_trial: false,
+        is_canary: false,
         cold_until: 0,
     };
     (0..count).map(spec).collect()
@@ -116,11 +116,11 @@
 fn a_server_that_goes_leaves_its_place_to_the_next_new_one() {
     let mut fleet = fleet(1, 0, 200);
     let mut specs = specs(210);
-    let idx = fleet.find(&specs[7].start.name).expect("a server");
+    let idx = fleet.find(&specs[7].instance.name).expect("a server");
     specs.remove(7);
     specs.truncate(200);
     fleet.set_config(&specs);
-    let new = fleet.find(&specs[199].start.name).expect("a server");
+    let new = fleet.find(&specs[199].instance.name).expect("a server");
     assert_eq!(new.slot(), idx.slot());
     assert!(fleet.get(idx).is_none(), "of another start");
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -10,17 +10,17 @@
 
 mod amount;
 mod id;
+mod instance;
 mod name;
 mod refusal;
-mod start;
 mod time;
 
 pub use amount::{PRICE_UNIT, Tokens, cost};
 pub use id::{Incarnation, KeyError, RequestKey};
+pub use instance::ServerInstance;
 pub use name::{
     BudgetName, ClassName, DomainName, KeyName, PoolName, RegionName, ServerName, StreamName,
     VersionName, VmName, WorkspaceName,
 };
 pub use refusal::{OUTCOME_HEADER, Outcome, Problem, Refusal, RefusalKind};
-pub use start::Start;
 pub use time::{MICROS_PER_MS, Micros, WallMs, wall_ms};
