--- a/crates/gateway/src/fleet/ticket.rs
+++ b/crates/gateway/src/fleet/ticket.rs
@@ -39,9 +39,9 @@
     }
 
     /// Records the timing of the response's events.
-    pub fn on_flow(&self, flow: Flow) {
+    pub fn on_stream_gaps(&self, gaps: Flow) {
         self.pool
-            .change_fleet(|fleet| fleet.on_flow(self.idx, flow));
+            .change_fleet(|fleet| fleet.on_flow(self.idx, gaps));
     }
 
     /// Records the mean gap between the response's events.
--- a/crates/gateway/src/peer_clocks.rs
+++ b/crates/gateway/src/peer_clocks.rs
@@ -1,9 +1,9 @@
-//! Readings of the steady clocks of other router processes.
+//! Readings of the monotonic clocks of other router processes.
 //!
 //! A VM that lost power can't tell from its own clock how long it was down, since its time of day
-//! may jump. Its peers' steady clocks kept running. A process that replies to a note includes the
-//! reading of its own clock, taken after it was asked. So the time since that reading is at most
-//! the time since the request, by the clock of the router that asked.
+//! may jump. Its peers' monotonic clocks kept running. A process that replies to a note includes
+//! the reading of its own clock, taken after it was asked. So the time since that reading is at
+//! most the time since the request, by the clock of the router that asked.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -20,9 +20,9 @@
 /// A reading of another process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The process's steady clock, in milliseconds.
+    /// The process's monotonic clock, in milliseconds.
     pub steady: u64,
-    /// When the reading was requested, by the steady clock of the requesting router, in
+    /// When the reading was requested, by the monotonic clock of the requesting router, in
     /// milliseconds.
     pub asked: u64,
 }
--- a/crates/gateway/src/quarantine/history.rs
+++ b/crates/gateway/src/quarantine/history.rs
@@ -1,7 +1,7 @@
 //! Decides which requests are queries of death, from the servers that crashed while running them.
 //!
 //! When a server crashes, each request running on it may be the cause, and all but one are
-//! innocent. A query of death is in common to the crashes of all servers that ran it. So a request
+//! innocent. A query of death is common to the crashes of all servers that ran it. So a request
 //! is held after [`CRASHES_TO_HOLD`] crashes without a better explanation, that is, another request
 //! on the same server that is held already and was in as many crashes. A request that completed on
 //! any server is cleared of all earlier crashes.
@@ -37,7 +37,7 @@
 /// Maximum number of requests held at a time.
 pub const MAX_HELD: usize = 1_024;
 
-/// Time of the VM's steady clock, in milliseconds.
+/// Time of the VM's monotonic clock, in milliseconds.
 type Millis = u64;
 
 /// A crash of a server, and the requests running on it, as far as routers saw them.
--- a/crates/gateway/src/rollout/progress.rs
+++ b/crates/gateway/src/rollout/progress.rs
@@ -25,8 +25,8 @@
 }
 
 impl Follow for Follower {
-    fn take(&mut self, news: News) -> News {
-        for change in &news.changes {
+    fn take(&mut self, update: News) -> News {
+        for change in &update.changes {
             let Some(value) = &change.value else {
                 continue;
             };
@@ -53,7 +53,7 @@
                 offset = change.offset,
             );
         }
-        news
+        update
     }
 
     fn regained(&mut self) {}
--- a/crates/gateway/tests/testsuite/emptied.rs
+++ b/crates/gateway/tests/testsuite/emptied.rs
@@ -101,17 +101,17 @@
         before.iter().rev().find(|record| record.key == key)
     }
 
-    fn apply_update(&mut self, news: &News) {
-        if let Some(keys) = &news.keys {
+    fn apply_update(&mut self, update: &News) {
+        if let Some(keys) = &update.keys {
             self.drained.retain(keys);
             for domain in 0..DOMAINS {
                 if !keys.contains(&key(domain)) {
                     let received = self.received.entry(key(domain)).or_default();
-                    *received = (*received).max(news.end);
+                    *received = (*received).max(update.end);
                 }
             }
         }
-        for change in &news.changes {
+        for change in &update.changes {
             if change.key == "other" {
                 continue;
             }
@@ -134,13 +134,13 @@
             Event::Rewind(true) => self.store.set_fault(StoreFault::Stale),
             Event::Rewind(false) => self.store.set_fault(StoreFault::None),
             Event::Poll => {
-                let news = self.reader.poll(Duration::ZERO).await.expect("news");
-                self.apply_update(&news);
+                let update = self.reader.poll(Duration::ZERO).await.expect("an update");
+                self.apply_update(&update);
             }
             Event::Receive { at, from, limit } => {
                 let received = self.page_at(*at, *from, *limit);
-                let news = self.reader.take_told(received, Instant::now());
-                self.apply_update(&news);
+                let update = self.reader.take_told(received, Instant::now());
+                self.apply_update(&update);
             }
         }
     }
