--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -205,7 +205,7 @@
                     journey.node.metrics.first_event(journey.start.elapsed());
                 }
                 if let Some(flow) = pauses.flow() {
-                    reply.ticket.on_flow(flow);
+                    reply.ticket.on_stream_gaps(flow);
                 }
                 if let Some(spend) = &mut journey.spend {
                     spend.deliver(cutter.events() * stride);
