--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -12,7 +12,7 @@
     ExpectedWait, Fleet, FleetPolicy, LoadReport, PickArgs, Policy, ServerSpec, TwoChoices,
 };
 use swiftlink_types::{
-    BudgetName, ClassName, DomainName, Micros, ServerName, Start, WorkspaceName,
+    BudgetName, ClassName, DomainName, Micros, ServerInstance, ServerName, WorkspaceName,
 };
 
 use super::meter::{Cost, cost};
@@ -152,7 +152,7 @@
     settings.seed = seed;
     let specs: Vec<ServerSpec> = (0..RUNNERS)
         .map(|index| ServerSpec {
-            instance: Start::from(ServerName::from(format!("runner-{index}"))),
+            instance: ServerInstance::from(ServerName::from(format!("runner-{index}"))),
             domain: domain(index),
             vm: None,
             slots: 16,
--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/world.rs
@@ -4,7 +4,7 @@
 use swiftlink_routing::{
     Dispatch, ErrorKind, Fleet, FleetPolicy, PickArgs, RetryBudget, ServerIdx, ServerSpec,
 };
-use swiftlink_types::{DomainName, Micros, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 use super::outcome::Outcome;
 use super::runner::{Runner, STEP};
@@ -305,7 +305,7 @@
 
 fn spec(index: usize) -> ServerSpec {
     ServerSpec {
-        instance: Start::from(ServerName::from(format!("runner-{index}"))),
+        instance: ServerInstance::from(ServerName::from(format!("runner-{index}"))),
         domain: domain(index),
         vm: None,
         slots: SLOTS as u32,
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use swiftlink_rollout::Stage;
-use swiftlink_types::{DomainName, PoolName, Start, VersionName};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, VersionName};
 
 use crate::model::Config;
 
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEntry {
     /// Name and start time of the server.
-    pub start: Start,
+    pub instance: ServerInstance,
     /// Pool that it serves.
     pub pool: PoolName,
     /// Address that it listens on.
--- a/crates/gateway/src/eligibility.rs
+++ b/crates/gateway/src/eligibility.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use swiftlink_types::Start;
+use swiftlink_types::ServerInstance;
 
 use crate::clock::steady_millis;
 use crate::domains::Domain;
@@ -150,12 +150,12 @@
 
 /// The announcements of all server instances.
 #[derive(Debug, Default)]
-pub struct Announcements(Mutex<HashMap<Start, Entry>>);
+pub struct Announcements(Mutex<HashMap<ServerInstance, Entry>>);
 
 impl Announcements {
     /// What a server instance that is listed now has announced.
     #[must_use]
-    pub fn of(&self, instance: &Start) -> Arc<Announcement> {
+    pub fn of(&self, instance: &ServerInstance) -> Arc<Announcement> {
         let mut entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = entries.entry(instance.clone()).or_insert_with(|| Entry {
             announcement: Arc::default(),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -258,7 +258,7 @@
     }
 
     fn set_servers(&self, node: &Node) {
-        let cold: usize = node.pools.all().iter().map(|pool| pool.cold()).sum();
+        let cold: usize = node.pools.all().iter().map(|pool| pool.cold_len()).sum();
         self.cold_servers
             .set(i64::try_from(cold).unwrap_or(i64::MAX));
         for domain in node.pools.domains().all() {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -12,12 +12,12 @@
 use crate::headroom::Traffic;
 use crate::metrics::Metrics;
 use crate::model::Config;
+use crate::peer_clocks::PeerClocks;
 use crate::quarantine::Quarantine;
 use crate::quota::QuotaTable;
 use crate::quota::holders::Placement;
 use crate::rollout::Reports;
 use crate::settings::RouterSettings;
-use crate::sightings::Sightings;
 use crate::watch::Replicas;
 
 /// State that requests read and background tasks keep up to date.
@@ -42,7 +42,7 @@
     /// Reports of other routers on rollouts that this one may coordinate.
     pub reports: Reports,
     /// Last known steady clocks of other processes.
-    pub peer_clocks: Arc<Sightings>,
+    pub peer_clocks: Arc<PeerClocks>,
     /// Random identifier that distinguishes this process from others on its VM.
     pub process: u64,
     /// Counters and histograms of the router.
--- a/crates/gateway/src/peer_handler.rs
+++ b/crates/gateway/src/peer_handler.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::node::Node;
-use crate::quarantine::tell;
+use crate::quarantine::gossip;
 use crate::quota::PeerReservations;
 use crate::rollout;
 use crate::server_updates;
@@ -81,19 +81,19 @@
 
     fn record_tally(&self, tally: &Tally) {
         let pool = PoolName::from(tally.pool.as_str());
-        let report = rollout::read_report(tally);
+        let report = rollout::decode_report(tally);
         self.node
             .reports
-            .take(&pool, tally.order, tally.process, report);
+            .insert(&pool, tally.order, tally.process, report);
     }
 
     fn last_seen(&self, process: u64) -> Seen {
-        let Some(sighting) = self.node.peer_clocks.get(process) else {
+        let Some(reading) = self.node.peer_clocks.get(process) else {
             return Seen::default();
         };
         Seen {
-            steady_ms: Some(sighting.steady),
-            age_ms: self.steady().saturating_sub(sighting.asked),
+            steady_ms: Some(reading.steady),
+            age_ms: self.steady().saturating_sub(reading.asked),
         }
     }
 }
@@ -106,7 +106,7 @@
                 server_updates::apply(&self.node.pools, peer, updates);
                 self.acknowledge()
             }
-            request::Kind::Ends(ends) => match tell::answer(&self.node.quarantine, peer, &ends) {
+            request::Kind::Ends(ends) => match gossip::reply_to(&self.node.quarantine, peer, &ends) {
                 Some(known) => reply::Kind::Ends(known),
                 None => self.acknowledge(),
             },
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -27,11 +27,11 @@
 use tokio::time::{Instant, timeout};
 
 use crate::clock::Clock;
+use crate::peer_clocks::{ClockReading, PeerClocks};
 use crate::quarantine::ranking;
 use crate::quota::holders::Member;
 use crate::quota::{LastSeen, PeerClient};
 use crate::server_updates;
-use crate::sightings::{Sighting, Sightings};
 use crate::store::Feed;
 use crate::watch::{PeerFeeds, PeerPage, PeerUpdate, Upstreams, replicas};
 
@@ -49,7 +49,7 @@
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Timeout at startup for connecting to a peer, and again for its answer: peers of a region answer
 /// in a few milliseconds.
-const SIGHTING_TIMEOUT: Duration = Duration::from_millis(100);
+const LAST_SEEN_TIMEOUT: Duration = Duration::from_millis(100);
 /// Timeout of a feed request for connecting to a peer, and again for its answer: peers of a region
 /// answer in a few milliseconds, and the store is asked next.
 const FEED_TIMEOUT: Duration = Duration::from_millis(100);
@@ -84,18 +84,18 @@
     /// Whether the placement has to be computed again because members were added.
     is_placement_due: AtomicBool,
     clock: Arc<dyn Clock>,
-    sightings: Arc<Sightings>,
+    peer_clocks: Arc<PeerClocks>,
 }
 
 impl Peers {
     /// Creates the state of a router on `vm` in `domain` that knows no others. Clock readings in
-    /// the answers of peers are added to `sightings`.
+    /// the answers of peers are added to `peer_clocks`.
     #[must_use]
     pub fn new(
         vm: VmName,
         domain: DomainName,
         clock: Arc<dyn Clock>,
-        sightings: Arc<Sightings>,
+        peer_clocks: Arc<PeerClocks>,
     ) -> Self {
         Self {
             vm,
@@ -109,7 +109,7 @@
             placement_members: Mutex::default(),
             is_placement_due: AtomicBool::new(true),
             clock,
-            sightings,
+            peer_clocks,
             members: Mutex::default(),
             links: Mutex::default(),
             secret: channel::Sender::new(None),
@@ -230,9 +230,9 @@
     }
 
     /// Asks the router on `vm` when it last heard from a process.
-    async fn query_sighting(&self, vm: &VmName, process: u64) -> Option<Seen> {
+    async fn query_last_seen(&self, vm: &VmName, process: u64) -> Option<Seen> {
         let kind = request::Kind::GetSeen(GetSeen { process });
-        match self.connect_and_call(vm, kind, SIGHTING_TIMEOUT).await {
+        match self.connect_and_call(vm, kind, LAST_SEEN_TIMEOUT).await {
             Ok(reply::Kind::Seen(seen)) => Some(seen),
             Ok(_) => {
                 event!(warn, "peer.wrong_reply", peer = vm);
@@ -313,7 +313,8 @@
         let asked = self.clock.steady();
         let reply = client.call(kind, time).await?;
         if let Some((process, steady)) = reported_clock(&reply) {
-            self.sightings.note(process, Sighting { steady, asked });
+            self.peer_clocks
+                .record(process, ClockReading { steady, asked });
         }
         Ok(reply)
     }
@@ -341,14 +342,14 @@
             vms = self.all();
             vms.truncate(server_updates::MAX_PEERS);
         }
-        let asked = vms.iter().map(|vm| self.query_sighting(vm, process));
+        let asked = vms.iter().map(|vm| self.query_last_seen(vm, process));
         let answers = join_all(asked).await;
         let seen = answers.into_iter().flatten().filter_map(|seen| {
-            let sighting = Sighting {
+            let reading = ClockReading {
                 steady: seen.steady_ms?,
                 asked: 0,
             };
-            Some(sighting.since(stamp, seen.age_ms))
+            Some(reading.since(stamp, seen.age_ms))
         });
         seen.min()
     }
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::peer_handler::PeerHandler;
 use crate::peers::{self, Peers};
-use crate::quarantine::{self, tell};
+use crate::quarantine::{self, gossip};
 use crate::quota::{Claims, PeerClient, PeerReservations, Reserver};
 use crate::ready::{self, Readiness};
 use crate::serve::CallerService;
@@ -246,8 +246,8 @@
     }
     tasks.spawn(server_updates::run(Arc::clone(node), Arc::clone(peers)));
     let quarantine = &node.quarantine;
-    tasks.spawn(quarantine::watch_breaks(Arc::clone(quarantine)));
-    let gossip = tell::run(
+    tasks.spawn(quarantine::detect_crashes(Arc::clone(quarantine)));
+    let gossip = gossip::run(
         Arc::clone(quarantine),
         Arc::clone(peers),
         Arc::clone(store),
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::exchange::Exchange;
 use crate::dialect::{ForwardMeta, ResponseKind};
-use crate::fleet::{Chosen, Ticket};
+use crate::fleet::{SelectedServer, Ticket};
 use crate::headroom::head_bytes;
 use crate::outcome::{Execution, Outcome};
 use crate::upstream::{Endpoint, Lease, SendError, SendOptions, send_to};
@@ -26,7 +26,7 @@
     pub(super) body: Body,
     pub(super) lease: Lease,
     pub(super) ticket: Ticket,
-    pub(super) server: Chosen,
+    pub(super) server: SelectedServer,
     /// `Served` or `Failed`.
     pub(super) outcome: Outcome,
 }
@@ -34,7 +34,7 @@
 /// Sends the request once, and gives up at `until` if the server hasn't responded.
 pub(super) async fn attempt(
     exchange: &Exchange,
-    server: Chosen,
+    server: SelectedServer,
     mut ticket: Ticket,
     resume: Option<u64>,
     until: Instant,
@@ -46,7 +46,7 @@
         head: until.saturating_duration_since(now),
         fresh: false,
     };
-    let endpoint = Endpoint::of(server.address, &server.start);
+    let endpoint = Endpoint::of(server.address, &server.instance);
     let eligibility = server.eligibility.clone();
     let held = Arc::clone(&exchange.node.quarantine).until_held(Arc::clone(&exchange.identity));
     let sent = tokio::select! {
@@ -99,7 +99,7 @@
         }
         _ => {
             if outcome.execution() == Execution::Yes && !exchange.is_stream() {
-                ticket.first();
+                ticket.on_first_event();
             }
             return Ok(ServerResponse {
                 head,
@@ -118,15 +118,15 @@
 fn record_announcement(
     exchange: &Exchange,
     ticket: &Ticket,
-    server: &Chosen,
+    server: &SelectedServer,
     head: &response::Parts,
 ) {
     let dialect = &exchange.node.dialect;
     if dialect.is_draining(&head.headers) {
-        exchange.pool.on_leaving(ticket.idx, server);
+        exchange.pool.on_draining(ticket.idx, server);
     }
     if let Some(time) = dialect.backoff(head.status, &head.headers) {
-        exchange.pool.on_rest(ticket.idx, server, time);
+        exchange.pool.on_backoff(ticket.idx, server, time);
     }
 }
 
@@ -143,12 +143,16 @@
     }
 }
 
-fn build(exchange: &Exchange, server: &Chosen, resume: Option<u64>) -> Request<Full<Bytes>> {
+fn build(
+    exchange: &Exchange,
+    server: &SelectedServer,
+    resume: Option<u64>,
+) -> Request<Full<Bytes>> {
     let forwarded = &exchange.request;
     let workspace = exchange.workspace.as_deref();
     let priority = workspace.and_then(|workspace| workspace.priority);
     let meta = ForwardMeta {
-        server: &server.start.name,
+        server: &server.instance.name,
         workspace: workspace.map(|workspace| &workspace.name),
         left: exchange.left(),
         priority: Some(priority.unwrap_or(exchange.route.priority)),
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -21,7 +21,7 @@
 use super::relay;
 use crate::dialect::RequestMeta;
 use crate::fingerprint::RequestIdentity;
-use crate::fleet::{Pool, Wish};
+use crate::fleet::{Pool, ServerCriteria};
 use crate::model::{Replay, Route, RouteKind, Workspace};
 use crate::node::{InFlight, Node};
 use crate::outcome::{Execution, Outcome};
@@ -212,7 +212,7 @@
         resume: Option<u64>,
     ) -> Result<ServerResponse, Refusal> {
         loop {
-            if let Some(rest) = self.node.quarantine.rest(&self.identity) {
+            if let Some(rest) = self.node.quarantine.remaining_hold(&self.identity) {
                 return Err(quarantine_refusal(attempts, rest));
             }
             let Some((server, ticket)) = self.pool.send(&self.criteria(attempts)) else {
@@ -220,8 +220,8 @@
             };
             let idx = ticket.idx;
             let until = self.attempt_deadline(attempts);
-            let name = server.start.name.clone();
-            let chosen = server.clone();
+            let name = server.instance.name.clone();
+            let selected = server.clone();
             let outcome = match attempt(self, server, ticket, resume, until).await {
                 Ok(response) => {
                     self.node.metrics.attempted(response.outcome.as_str());
@@ -236,7 +236,9 @@
             attempts.record(outcome);
             let is_broken = outcome == Outcome::Lost;
             if is_broken {
-                self.node.quarantine.on_break(&chosen, &self.identity);
+                self.node
+                    .quarantine
+                    .on_broken_attempt(&selected, &self.identity);
             }
             event!(
                 info,
@@ -259,22 +261,22 @@
     }
 
     /// Criteria for choosing the next server.
-    fn criteria<'a>(&'a self, attempts: &'a Attempts) -> Wish<'a> {
-        Wish {
+    fn criteria<'a>(&'a self, attempts: &'a Attempts) -> ServerCriteria<'a> {
+        ServerCriteria {
             prefix: self.meta.prefix,
             prompt: self.prompt(),
-            aim: self.route.aim,
+            latency_target: self.route.latency_target,
             domains: self.domains.as_ref(),
             exclude: &attempts.tried,
             route: Some(&self.route.name),
-            may_try: attempts.tried.is_empty(),
+            may_canary: attempts.tried.is_empty(),
         }
     }
 
     /// Refusal of a request that isn't sent again.
     fn unserved(&self, attempts: &Attempts) -> Refusal {
         if attempts.executions == 0 {
-            return Refusal::NoServer(self.pool.back_in().unwrap_or(SERVER_RETRY));
+            return Refusal::NoServer(self.pool.retry_after().unwrap_or(SERVER_RETRY));
         }
         Refusal::Lost
     }
@@ -283,7 +285,7 @@
     /// attempt may have reached a server.
     pub(super) fn may_retry(&self, attempts: &Attempts, outcome: Outcome) -> bool {
         let may_retry = outcome.may_retry(self.route.replay())
-            && attempts.executions < self.route.attempts.max(1)
+            && attempts.executions < self.route.max_attempts.max(1)
             && attempts.count() < MAX_ATTEMPTS
             && !self.left().is_zero();
         may_retry && (!outcome.may_have_arrived() || self.pool.retries.take())
@@ -292,7 +294,7 @@
     /// When to stop waiting for the head of a response: if another server may be tried, half of
     /// the remaining time is left for it.
     fn attempt_deadline(&self, attempts: &Attempts) -> Instant {
-        let is_last = attempts.executions + 1 >= self.route.attempts;
+        let is_last = attempts.executions + 1 >= self.route.max_attempts;
         if self.route.replay() == Replay::Never || is_last {
             return self.deadline;
         }
@@ -318,7 +320,7 @@
                 info,
                 "request.failed",
                 id = self.id(),
-                server = server.start.name,
+                server = server.instance.name,
                 status = head.status.as_u16(),
                 next = "another server",
             );
@@ -346,12 +348,14 @@
                     info,
                     "request.truncated",
                     id = self.id(),
-                    server = server.start.name,
+                    server = server.instance.name,
                     print = self.identity.fingerprint(),
                     error = error,
                 );
                 ticket.fail(ErrorKind::Broken);
-                self.node.quarantine.on_break(&server, &self.identity);
+                self.node
+                    .quarantine
+                    .on_broken_attempt(&server, &self.identity);
                 if self.may_retry(attempts, Outcome::Truncated) {
                     return Err(NextStep::Retry);
                 }
@@ -365,9 +369,9 @@
         match outcome {
             Outcome::Failed => ticket.fail(ErrorKind::Status),
             _ => {
-                ticket.end();
+                ticket.complete();
                 self.deliver_all();
-                self.node.quarantine.on_served(&self.identity);
+                self.node.quarantine.on_completed(&self.identity);
             }
         }
         event!(
@@ -376,7 +380,7 @@
             id = self.id(),
             route = self.route.name,
             workspace = self.workspace(),
-            server = server.start.name,
+            server = server.instance.name,
             status = head.status.as_u16(),
             attempts = attempts.count(),
             config = self.version,
@@ -404,7 +408,7 @@
             reason = refusal.as_str(),
             attempts = attempts.count(),
             runs = attempts.executions,
-            open = self.pool.open(),
+            open = self.pool.open_len(),
             config = self.version,
             ms = self.start.elapsed().as_millis(),
         );
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -163,8 +163,8 @@
             StreamEnd::Broken => exchange
                 .node
                 .quarantine
-                .on_break(&response.server, &exchange.identity),
-            StreamEnd::Complete => exchange.node.quarantine.on_served(&exchange.identity),
+                .on_broken_attempt(&response.server, &exchange.identity),
+            StreamEnd::Complete => exchange.node.quarantine.on_completed(&exchange.identity),
             StreamEnd::Timeout | StreamEnd::Quarantined => {}
         }
         let splitter = EventSplitter::new();
@@ -186,7 +186,7 @@
         let _guard = guard;
         let mut splitter = EventSplitter::new();
         let mut gaps = EventGaps::default();
-        let max_event_tokens = exchange.pool.spec().stride.unwrap_or(1);
+        let max_event_tokens = exchange.pool.spec().max_event_tokens.unwrap_or(1);
         let quarantine = Arc::clone(&exchange.node.quarantine);
         let held = Arc::clone(&quarantine).until_held(Arc::clone(&exchange.identity));
         tokio::pin!(held);
@@ -211,13 +211,13 @@
                 let Some(events) = splitter.push(&chunk) else {
                     continue;
                 };
-                response.ticket.first();
+                response.ticket.on_first_event();
                 first_event.get_or_insert_with(Instant::now);
                 if gaps.on_event(exchange.start, Instant::now()) {
                     exchange.node.metrics.first_event(exchange.start.elapsed());
                 }
                 if let Some(sample) = gaps.sample() {
-                    response.ticket.flow(sample);
+                    response.ticket.on_stream_gaps(sample);
                 }
                 if let Some(reservation) = &mut exchange.reservation {
                     reservation.deliver(splitter.events() * max_event_tokens);
@@ -226,9 +226,9 @@
             };
             match end {
                 StreamEnd::Broken if !outlived_crash_window(first_event) => {
-                    quarantine.on_break(&response.server, &exchange.identity);
+                    quarantine.on_broken_attempt(&response.server, &exchange.identity);
                 }
-                StreamEnd::Complete => quarantine.on_served(&exchange.identity),
+                StreamEnd::Complete => quarantine.on_completed(&exchange.identity),
                 StreamEnd::Broken | StreamEnd::Timeout | StreamEnd::Quarantined => {}
             }
             if end == StreamEnd::Broken
@@ -274,7 +274,7 @@
         info,
         "request.resumed",
         id = exchange.id(),
-        broken = broken.server.start.name,
+        broken = broken.server.instance.name,
         print = exchange.identity.fingerprint(),
         after = last.unwrap_or(0),
     );
@@ -296,7 +296,7 @@
         id = exchange.id(),
         route = exchange.route.name,
         workspace = exchange.workspace(),
-        server = response.server.start.name,
+        server = response.server.instance.name,
         end = end.as_str(),
         events = splitter.events(),
         prompt = exchange.meta.usage.map_or(0, |usage| usage.prompt),
@@ -321,14 +321,14 @@
         ..
     } = response;
     if gaps.count > 0 {
-        ticket.pace(gaps.sum / gaps.count);
+        ticket.on_mean_gap(gaps.sum / gaps.count);
     }
     match end {
         StreamEnd::Complete => {
             if let Some(keep_alive) = exchange.keep_alive(&head.headers) {
                 lease.recycle_for(keep_alive);
             }
-            ticket.end();
+            ticket.complete();
         }
         StreamEnd::Broken => ticket.fail(ErrorKind::Broken),
         StreamEnd::Timeout => ticket.time_out(),
--- a/crates/gateway/src/serve/service.rs
+++ b/crates/gateway/src/serve/service.rs
@@ -95,15 +95,15 @@
         let workspace = find_workspace(&config, &route, &meta);
         let workspace = workspace.map_err(|refusal| self.unknown_or_stale(refusal))?;
         let body = request
-            .body(config.limits.body)
+            .body(config.limits.max_body)
             .await
             .map_err(body_refusal)?;
         node.traffic
             .received(head_bytes(request.headers()) + body.len());
         let identity = Arc::new(identity(workspace.as_deref(), &request, &body));
-        if let Some(rest) = node.quarantine.rest(&identity) {
-            let print = identity.fingerprint();
-            event!(info, "request.held", id = meta.id(), print = print);
+        if let Some(rest) = node.quarantine.remaining_hold(&identity) {
+            let fingerprint = identity.fingerprint();
+            event!(info, "request.held", id = meta.id(), print = fingerprint);
             return Err(Refusal::Held(rest));
         }
         let time = meta.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
@@ -116,8 +116,12 @@
         pool.on_request();
         let workspace_regions = workspace
             .as_ref()
-            .map_or(&[][..], |workspace| &workspace.homes);
-        let domains = allowed_domains(&route.homes, workspace_regions, &node.settings.regions);
+            .map_or(&[][..], |workspace| &workspace.allowed_regions);
+        let domains = allowed_domains(
+            &route.allowed_regions,
+            workspace_regions,
+            &node.settings.regions,
+        );
         Ok(Exchange {
             node: Arc::clone(node),
             pool,
@@ -163,7 +167,7 @@
         let Some(quota) = self.node.quotas.get(&workspace.name) else {
             return Ok(None);
         };
-        let wait = (route.aim / QUOTA_WAIT_DIVISOR).max(MIN_QUOTA_WAIT);
+        let wait = (route.latency_target / QUOTA_WAIT_DIVISOR).max(MIN_QUOTA_WAIT);
         let timeouts = Timeouts {
             wait,
             request: time,
--- a/crates/gateway/src/server_updates.rs
+++ b/crates/gateway/src/server_updates.rs
@@ -10,7 +10,7 @@
 use swiftlink_link::LinkError;
 use swiftlink_routing::{ServerUpdate, StreamGaps};
 use swiftlink_telemetry::event;
-use swiftlink_types::{PoolName, ServerName, Start, VmName};
+use swiftlink_types::{PoolName, ServerInstance, ServerName, VmName};
 use swiftlink_wire::link::{Flow as FlowMessage, Notes, ServerNote, reply, request};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -73,7 +73,7 @@
 fn collect(pools: &Pools) -> Vec<ServerNote> {
     let mut all = Vec::new();
     for pool in pools.all() {
-        for update in pool.take_notes() {
+        for update in pool.take_updates() {
             all.push(message(&pool.name, update));
         }
     }
@@ -88,7 +88,7 @@
     ServerNote {
         pool: pool.to_string(),
         server: update.server.name.to_string(),
-        born: update.server.born,
+        born: update.server.started,
         unread: update.backlog,
         flows: gaps.collect(),
         prefixes: update.prefixes,
@@ -108,11 +108,11 @@
             longest: stream.longest,
         });
         let update = ServerUpdate {
-            server: Start::new(ServerName::from(message.server.as_str()), message.born),
+            server: ServerInstance::new(ServerName::from(message.server.as_str()), message.born),
             backlog: message.unread,
             gaps: gaps.collect(),
             prefixes: message.prefixes,
         };
-        pool.on_note(peer, &update);
+        pool.on_peer_update(peer, &update);
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use swiftlink_rollout::Terms;
+use swiftlink_rollout::ExposureLimit;
 use swiftlink_types::{DomainName, RegionName, VmName};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -42,7 +42,7 @@
     /// Limits on the retries of the whole fleet.
     pub retries: RetryLimits,
     /// How much of a pool's traffic a bad version may get; `None` disables rollouts.
-    pub rollouts: Option<Terms>,
+    pub rollouts: Option<ExposureLimit>,
     /// Maximum number of partitions of the accounts feed.
     pub partitions: u32,
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -18,7 +18,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use swiftlink_routing::ErrorKind;
-use swiftlink_types::Start;
+use swiftlink_types::ServerInstance;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -92,11 +92,11 @@
 impl Endpoint {
     /// The endpoint of a server instance.
     #[must_use]
-    pub fn of(address: SocketAddr, instance: &Start) -> Self {
+    pub fn of(address: SocketAddr, instance: &ServerInstance) -> Self {
         let name = instance.name.as_str().as_bytes();
         Self {
             address,
-            instance: xxh3_64_with_seed(name, instance.born),
+            instance: xxh3_64_with_seed(name, instance.started),
         }
     }
 }
--- a/crates/gateway/src/watch/config.rs
+++ b/crates/gateway/src/watch/config.rs
@@ -93,7 +93,7 @@
             }
         }
         if changed {
-            self.node.pools.set_emptied(self.drained.domains());
+            self.node.pools.set_drained_domains(self.drained.domains());
         }
     }
 
--- a/crates/gateway/src/watch/directory.rs
+++ b/crates/gateway/src/watch/directory.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use swiftlink_telemetry::event;
-use swiftlink_types::{ServerName, Start, WallMs};
+use swiftlink_types::{ServerInstance, ServerName, WallMs};
 use tokio::time::Instant;
 
 use super::follow::Follow;
@@ -77,17 +77,17 @@
             warmup: Duration::ZERO,
             ..entry
         };
-        let Start { name, born } = entry.start.clone();
+        let ServerInstance { name, started } = entry.instance.clone();
         let newest = self.last_starts.get(&name).copied().unwrap_or(0);
-        if born == 0 && newest > 0 {
+        if started == 0 && newest > 0 {
             self.invalidate(&name);
             return EntryChange::Foreign;
         }
-        if born < newest {
+        if started < newest {
             return EntryChange::Outdated;
         }
-        if born > newest {
-            self.last_starts.insert(name.clone(), born);
+        if started > newest {
+            self.last_starts.insert(name.clone(), started);
         }
         let was_missing = self.lapsed.remove(&name).is_some();
         let is_colder = self.update_warmup(&name, warmup);
@@ -100,7 +100,7 @@
         }
         let before = self.entries.insert(name, entry.clone());
         self.pending_diffs.push((before, Some(entry)));
-        if newest > 0 && born > newest {
+        if newest > 0 && started > newest {
             return EntryChange::Restarted;
         }
         EntryChange::Changed
@@ -275,7 +275,7 @@
     /// Applies an entry that could be read.
     fn apply_entry(&mut self, entry: ServerEntry, offset: u64, is_logged: bool) -> Outcome {
         let change = self.directory.put(entry.clone());
-        let Start { name, born } = entry.start;
+        let ServerInstance { name, started } = entry.instance;
         match change {
             EntryChange::Unchanged => {
                 return Outcome {
@@ -295,7 +295,7 @@
                     info,
                     "server.outdated",
                     server = name,
-                    born = born,
+                    born = started,
                     offset = offset,
                 );
                 return Outcome {
@@ -325,7 +325,7 @@
                 address = entry.address,
                 draining = entry.draining,
                 cold_ms = entry.warmup.as_millis(),
-                born = born,
+                born = started,
                 started_again = change == EntryChange::Restarted,
                 offset = offset,
             );
--- a/crates/gateway/src/watch/subset.rs
+++ b/crates/gateway/src/watch/subset.rs
@@ -99,7 +99,7 @@
 }
 
 fn sort_key(entry: &ServerEntry) -> SortKey {
-    let name = &entry.start.name;
+    let name = &entry.instance.name;
     (
         entry.draining,
         xxh3_64(name.as_str().as_bytes()),
--- a/crates/gateway/src/watch/subset/tests.rs
+++ b/crates/gateway/src/watch/subset/tests.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use swiftlink_types::{DomainName, PoolName, ServerName, Start};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName};
 
 use super::Subset;
 use crate::catalog::ServerEntry;
@@ -13,7 +13,7 @@
 
 fn entry(number: usize, draining: bool) -> ServerEntry {
     ServerEntry {
-        start: Start::from(ServerName::from(format!("s{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("s{number}"))),
         pool: PoolName::from("pool"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         domain: DomainName::from(format!("d{}", number % DOMAINS)),
@@ -61,7 +61,7 @@
 fn draining_servers_are_replaced_by_others_of_their_domain() {
     let (mut subset, selected) = selected_of(10_000);
     for number in 0..10_000 {
-        if selected.contains(&entry(number, false).start.name) {
+        if selected.contains(&entry(number, false).instance.name) {
             assert!(subset.remove(&entry(number, false)), "it was needed");
             subset.put(&entry(number, true));
         }
--- a/crates/gateway/tests/testsuite/cap.rs
+++ b/crates/gateway/tests/testsuite/cap.rs
@@ -5,8 +5,8 @@
 
 use proptest::prelude::*;
 use swiftlink_gateway::clock::Reading;
+use swiftlink_gateway::peer_clocks::ClockReading;
 use swiftlink_gateway::quota::cap::{Cap, base, elapsed, max_growth, median_start, plan_growth};
-use swiftlink_gateway::sightings::Sighting;
 use swiftlink_types::Tokens;
 
 fn reading(boot: &str, steady: u64, wall: u64) -> Reading {
@@ -67,9 +67,9 @@
     ) {
         // The process's clock is `ahead` of the clock of the router that asks.
         let read = asked + delay;
-        let sighting = Sighting { steady: read + ahead, asked };
+        let reading = ClockReading { steady: read + ahead, asked };
         let now = read.max(stamp) + more;
-        let max = sighting.since(stamp + ahead, now);
+        let max = reading.since(stamp + ahead, now);
         prop_assert!(max >= millis(now - stamp));
     }
 }
--- a/crates/gateway/tests/testsuite/copies.rs
+++ b/crates/gateway/tests/testsuite/copies.rs
@@ -147,7 +147,7 @@
 fn servers(all: &[(&str, u64, u16)]) -> BTreeMap<String, (u64, u16)> {
     let servers = all.iter();
     servers
-        .map(|(name, born, port)| ((*name).to_owned(), (*born, *port)))
+        .map(|(name, started, port)| ((*name).to_owned(), (*started, *port)))
         .collect()
 }
 
--- a/crates/gateway/tests/testsuite/losses.rs
+++ b/crates/gateway/tests/testsuite/losses.rs
@@ -11,9 +11,9 @@
 use swiftlink_gateway::clock::Clock;
 use swiftlink_gateway::dialect::Usage;
 use swiftlink_gateway::model::Workspace;
+use swiftlink_gateway::peer_clocks::ClockReading;
 use swiftlink_gateway::quota::holders::Placement;
 use swiftlink_gateway::quota::{LastSeen, LocalQuota};
-use swiftlink_gateway::sightings::Sighting;
 use swiftlink_gateway::store::{Feed, MemStore, StoreFault};
 use swiftlink_types::WorkspaceName;
 use tokio::time::{Instant, sleep};
@@ -36,12 +36,12 @@
 #[async_trait]
 impl LastSeen for Peer {
     async fn since(&self, _process: u64, stamp: u64) -> Option<Duration> {
-        let sighting = Sighting {
+        let reading = ClockReading {
             steady: self.ended - 100,
             asked: 0,
         };
         let age = self.at.elapsed().as_millis() as u64 + 100;
-        Some(sighting.since(stamp, age))
+        Some(reading.since(stamp, age))
     }
 }
 
@@ -287,7 +287,7 @@
     let other = Arc::new(Workspace {
         name: WorkspaceName::from("other"),
         priority: None,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         prepaid: Some(PREPAID),
     });
     both.workspaces.insert(other.name.clone(), other);
--- a/crates/gateway/tests/testsuite/relay.rs
+++ b/crates/gateway/tests/testsuite/relay.rs
@@ -239,7 +239,7 @@
 fn servers(all: &[(&str, u64, u16)]) -> BTreeMap<String, (u64, u16)> {
     let servers = all.iter();
     servers
-        .map(|(name, born, port)| ((*name).to_owned(), (*born, *port)))
+        .map(|(name, started, port)| ((*name).to_owned(), (*started, *port)))
         .collect()
 }
 
--- a/crates/gateway/tests/testsuite/spread.rs
+++ b/crates/gateway/tests/testsuite/spread.rs
@@ -11,11 +11,12 @@
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use swiftlink_gateway::quarantine::{
-    Cases, ENDS, HOLD, Held, OBSERVERS, PASSED_ON, ROUNDS, ServerEnd, ranking,
+    CRASHES_TO_HOLD, CrashHistory, GOSSIP_FANOUT, GOSSIP_ROUNDS, HeldRequest, INITIAL_HOLD,
+    OBSERVERS, ServerCrash, ranking,
 };
-use swiftlink_types::{DomainName, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, ServerInstance, ServerName, VmName};
 
-use crate::quarantine::print;
+use crate::quarantine::fingerprint;
 
 /// Most crashes that are allowed after the request is identified as their cause.
 const MAX_LATE: usize = 3;
@@ -34,11 +35,11 @@
 /// A message in transit.
 struct Message {
     to: usize,
-    crashes: Vec<ServerEnd>,
+    crashes: Vec<ServerCrash>,
 }
 
 struct Fleet {
-    cases: Vec<Cases>,
+    histories: Vec<CrashHistory>,
     is_up: Vec<bool>,
     /// Links that carry nothing in the direction from the first to the second router.
     cut: HashSet<(usize, usize)>,
@@ -62,7 +63,7 @@
         let links = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
         let cut = links.filter(|_| rng.random_bool(cut)).collect();
         Self {
-            cases: (0..count).map(|_| Cases::default()).collect(),
+            histories: (0..count).map(|_| CrashHistory::default()).collect(),
             is_up: (0..count).map(|_| !rng.random_bool(lost)).collect(),
             cut,
             ranked,
@@ -77,7 +78,7 @@
         self.is_up[to] && !is_cut
     }
 
-    fn send(&mut self, at: u64, to: usize, crashes: Vec<ServerEnd>) {
+    fn send(&mut self, at: u64, to: usize, crashes: Vec<ServerCrash>) {
         self.in_transit
             .entry(at)
             .or_default()
@@ -86,15 +87,15 @@
 
     /// Sends a crash from a router to the observers, or to the next routers in place of those that
     /// don't answer. Their answers contain the evidence against the requests that they hold.
-    fn report(&mut self, now: u64, from: usize, crash: &ServerEnd) {
-        let is_small = self.cases.len() <= 17;
+    fn report(&mut self, now: u64, from: usize, crash: &ServerCrash) {
+        let is_small = self.histories.len() <= 17;
         let all: Vec<usize> = match is_small {
-            true => (0..self.cases.len()).collect(),
+            true => (0..self.histories.len()).collect(),
             false => self.ranked.clone(),
         };
         let mut candidates = all.into_iter().filter(|to| *to != from);
         let wanted = if is_small {
-            self.cases.len() - 1
+            self.histories.len() - 1
         } else {
             OBSERVERS
         };
@@ -110,9 +111,9 @@
                 }
                 reached += 1;
                 self.send(at, to, vec![crash.clone()]);
-                let proofs = self.cases[to].proofs();
-                if !proofs.is_empty() {
-                    self.send(at + DELAY, from, proofs);
+                let evidence = self.histories[to].evidence();
+                if !evidence.is_empty() {
+                    self.send(at + DELAY, from, evidence);
                 }
             }
             at += TIMEOUT;
@@ -120,16 +121,16 @@
     }
 
     /// Gossips the evidence for newly held requests, in a large fleet.
-    fn gossip(&mut self, now: u64, from: usize, held: &[Held]) {
-        let crashes: Vec<ServerEnd> = held.iter().flat_map(Held::proofs).collect();
-        if crashes.is_empty() || self.cases.len() <= 17 {
+    fn gossip(&mut self, now: u64, from: usize, held: &[HeldRequest]) {
+        let crashes: Vec<ServerCrash> = held.iter().flat_map(HeldRequest::evidence).collect();
+        if crashes.is_empty() || self.histories.len() <= 17 {
             return;
         }
         let mut at = now + DELAY;
-        for round in 0..u64::from(ROUNDS) {
+        for round in 0..u64::from(GOSSIP_ROUNDS) {
             at += GOSSIP_INTERVAL * round;
-            let others = (0..self.cases.len()).filter(|to| *to != from);
-            for to in others.sample(&mut self.rng, PASSED_ON) {
+            let others = (0..self.histories.len()).filter(|to| *to != from);
+            for to in others.sample(&mut self.rng, GOSSIP_FANOUT) {
                 if self.reaches(from, to) {
                     self.send(at, to, crashes.clone());
                 }
@@ -138,10 +139,10 @@
     }
 
     /// Delivers crashes to a router.
-    fn deliver(&mut self, now: u64, to: usize, crashes: &[ServerEnd]) {
-        let held: Vec<Held> = crashes
+    fn deliver(&mut self, now: u64, to: usize, crashes: &[ServerCrash]) {
+        let held: Vec<HeldRequest> = crashes
             .iter()
-            .flat_map(|crash| self.cases[to].on_end(now, crash).held)
+            .flat_map(|crash| self.histories[to].on_crash(now, crash).held)
             .collect();
         self.gossip(now, to, &held);
     }
@@ -161,20 +162,27 @@
                 continue;
             }
             let router = up[self.rng.random_range(0..up.len())];
-            if self.cases[router].rest(&print(7), now).is_some() {
+            if self.histories[router]
+                .remaining_hold(&fingerprint(7), now)
+                .is_some()
+            {
                 continue;
             }
             crashes.push(now);
-            let crash = ServerEnd {
-                start: Start::from(ServerName::from(format!("i-{now}").as_str())),
+            let crash = ServerCrash {
+                instance: ServerInstance::from(ServerName::from(format!("i-{now}").as_str())),
                 at: now,
-                prints: HashSet::from([print(7)]),
+                fingerprints: HashSet::from([fingerprint(7)]),
                 seen_by: BTreeSet::from([VmName::from(format!("vm-{router}").as_str())]),
             };
             self.deliver(now, router, std::slice::from_ref(&crash));
             self.report(now, router, &crash);
         }
-        let holds = |one: &&usize| self.cases[**one].rest(&print(7), 120_000).is_some();
+        let holds = |one: &&usize| {
+            self.histories[**one]
+                .remaining_hold(&fingerprint(7), 120_000)
+                .is_some()
+        };
         let held = up.iter().filter(holds).count();
         (crashes, held)
     }
@@ -182,12 +190,15 @@
 
 #[test]
 fn all_routers_of_an_intact_fleet_hold_it_after_three_crashes() {
-    assert!(HOLD.as_millis() > 120_000, "a hold outlasts the simulation");
+    assert!(
+        INITIAL_HOLD.as_millis() > 120_000,
+        "a hold outlasts the simulation"
+    );
     for count in [7, 75, 300] {
         for seed in 0..6 {
             let mut fleet = Fleet::new(count, 0.0, 0.0, seed);
             let (crashes, held) = fleet.simulate();
-            assert_eq!(crashes.len(), ENDS, "{count} routers");
+            assert_eq!(crashes.len(), CRASHES_TO_HOLD, "{count} routers");
             assert_eq!(held, count);
         }
     }
@@ -200,7 +211,7 @@
         for seed in 0..6 {
             let mut fleet = Fleet::new(count, 0.33, 0.1, seed);
             let (crashes, _) = fleet.simulate();
-            let identified = crashes[ENDS - 1] + GRACE;
+            let identified = crashes[CRASHES_TO_HOLD - 1] + GRACE;
             let late = crashes.iter().filter(|at| **at > identified).count();
             assert!(
                 late <= MAX_LATE,
--- a/crates/gateway/tests/testsuite/starts.rs
+++ b/crates/gateway/tests/testsuite/starts.rs
@@ -10,11 +10,11 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use swiftlink_gateway::catalog::{CatalogError, ServerEntry};
-use swiftlink_gateway::fleet::{Pool, Wish};
+use swiftlink_gateway::fleet::{Pool, ServerCriteria};
 use swiftlink_gateway::model::Config;
 use swiftlink_gateway::store::{Feed, MemStore, StoreFault};
 use swiftlink_gateway::{Catalog, Node};
-use swiftlink_types::{DomainName, PoolName, ServerName, Start, WallMs};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName, WallMs};
 use tokio::time::sleep;
 
 use crate::watch::{NoDialect, follow_alone};
@@ -29,7 +29,11 @@
 #[derive(Clone, Debug)]
 enum Event {
     /// An instance of a server writes its entry; 0 stands for an unknown start time.
-    Put { name: u8, born: WallMs, port: u16 },
+    Put {
+        name: u8,
+        started: WallMs,
+        port: u16,
+    },
     /// Another writer writes an unreadable value under its name.
     Garbage { name: u8 },
     /// Its entry is removed.
@@ -43,7 +47,7 @@
 fn event() -> impl Strategy<Value = Event> {
     let put = (0..SERVERS, 0..4_u64, 1..3_u16);
     prop_oneof![
-        4 => put.prop_map(|(name, born, port)| Event::Put { name, born, port }),
+        4 => put.prop_map(|(name, started, port)| Event::Put { name, started, port }),
         1 => (0..SERVERS).prop_map(|name| Event::Garbage { name }),
         1 => (0..SERVERS).prop_map(|name| Event::Remove { name }),
         1 => any::<bool>().prop_map(Event::Outage),
@@ -51,7 +55,7 @@
     ]
 }
 
-/// Decodes entries of the form `born port`.
+/// Decodes entries of the form `started port`.
 #[derive(Debug)]
 pub(crate) struct Entries;
 
@@ -62,16 +66,16 @@
 
     fn server(&self, key: &str, value: &[u8]) -> Result<ServerEntry, CatalogError> {
         let text = String::from_utf8_lossy(value);
-        let fields = text.split_once(' ').and_then(|(born, port)| {
-            let fields = (born.parse().ok()?, port.parse().ok()?);
+        let fields = text.split_once(' ').and_then(|(started, port)| {
+            let fields = (started.parse().ok()?, port.parse().ok()?);
             Some(fields)
         });
-        let (born, port) = fields.ok_or_else(|| CatalogError {
+        let (started, port) = fields.ok_or_else(|| CatalogError {
             key: key.to_owned(),
             reason: "something else".to_owned(),
         })?;
         Ok(ServerEntry {
-            start: Start::new(ServerName::from(key), born),
+            instance: ServerInstance::new(ServerName::from(key), started),
             pool: PoolName::from("pool"),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             domain: DomainName::from("a"),
@@ -95,15 +99,19 @@
 impl Model {
     fn take(&mut self, event: &Event) {
         match *event {
-            Event::Put { name, born, port } => {
+            Event::Put {
+                name,
+                started,
+                port,
+            } => {
                 let newest = self.newest.entry(key(name)).or_default();
-                if born == 0 && *newest > 0 {
+                if started == 0 && *newest > 0 {
                     self.used.remove(&key(name));
                     return;
                 }
-                if born >= *newest {
-                    *newest = born;
-                    self.used.insert(key(name), (born, port));
+                if started >= *newest {
+                    *newest = started;
+                    self.used.insert(key(name), (started, port));
                 }
             }
             Event::Garbage { name } | Event::Remove { name } => {
@@ -123,7 +131,11 @@
         store.put(Feed::Servers, &key(name), value.map(Bytes::from));
     };
     match *event {
-        Event::Put { name, born, port } => put(name, Some(format!("{born} {port}"))),
+        Event::Put {
+            name,
+            started,
+            port,
+        } => put(name, Some(format!("{started} {port}"))),
         Event::Garbage { name } => put(name, Some("garbage".to_owned())),
         Event::Remove { name } => put(name, None),
         Event::Outage(true) => store.set_fault(StoreFault::Unavailable),
@@ -137,16 +149,16 @@
     let mut used = BTreeMap::new();
     let mut tried = Vec::new();
     loop {
-        let wish = Wish {
-            aim: Duration::from_secs(1),
+        let criteria = ServerCriteria {
+            latency_target: Duration::from_secs(1),
             exclude: &tried,
-            ..Wish::default()
+            ..ServerCriteria::default()
         };
-        let Some((server, ticket)) = pool.send(&wish) else {
+        let Some((server, ticket)) = pool.send(&criteria) else {
             break;
         };
-        let place = (server.start.born, server.address.port());
-        used.insert(server.start.name.to_string(), place);
+        let place = (server.instance.started, server.address.port());
+        used.insert(server.instance.name.to_string(), place);
         tried.push(ticket.idx);
     }
     used
--- a/crates/gateway/tests/testsuite/watch.rs
+++ b/crates/gateway/tests/testsuite/watch.rs
@@ -14,7 +14,7 @@
 use swiftlink_gateway::watch::{
     self, Directory, EntryChange, FeedUpdate, PeerFeeds, PeerPage, Reader,
 };
-use swiftlink_types::{DomainName, PoolName, ServerName, Start};
+use swiftlink_types::{DomainName, PoolName, ServerInstance, ServerName};
 use tokio::time::Instant;
 
 const NO_WAIT: Duration = Duration::ZERO;
@@ -91,7 +91,7 @@
 
 fn server(name: &str) -> ServerEntry {
     ServerEntry {
-        start: Start::from(ServerName::from(name)),
+        instance: ServerInstance::from(ServerName::from(name)),
         pool: PoolName::from("pool"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         domain: DomainName::from("a"),
--- a/crates/routing/src/fleet/members.rs
+++ b/crates/routing/src/fleet/members.rs
@@ -133,7 +133,7 @@
         domain: spec.domain.clone(),
         vm: spec.vm.clone(),
         hash: xxh3_64_with_seed(name, NAME_SEED),
-        instance_hash: xxh3_64_with_seed(name, spec.instance.born),
+        instance_hash: xxh3_64_with_seed(name, spec.instance.started),
         generation,
         slots: spec.slots,
         is_local: false,
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,6 +1,6 @@
 //! State of one backend server as a router knows it.
 
-use swiftlink_types::{DomainName, Micros, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName, VmName};
 
 use crate::backlog::PrefillBacklog;
 use crate::health::Health;
@@ -47,7 +47,7 @@
 /// State of one server instance, as policies see it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub(crate) instance: Start,
+    pub(crate) instance: ServerInstance,
     pub(crate) domain: DomainName,
     pub(crate) vm: Option<VmName>,
     /// Hash of its name.
@@ -105,7 +105,7 @@
 
     /// Its name and start time.
     #[must_use]
-    pub fn instance(&self) -> &Start {
+    pub fn instance(&self) -> &ServerInstance {
         &self.instance
     }
 
--- a/crates/routing/src/spec.rs
+++ b/crates/routing/src/spec.rs
@@ -1,6 +1,6 @@
 //! Inputs of a fleet: its settings, the configured servers, the VM list.
 
-use swiftlink_types::{DomainName, Micros, Start, VmName};
+use swiftlink_types::{DomainName, Micros, ServerInstance, VmName};
 
 use crate::health::HealthPolicy;
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSpec {
     /// Its name and start time.
-    pub instance: Start,
+    pub instance: ServerInstance,
     /// Its failure domain.
     pub domain: DomainName,
     /// Its VM, if the VM list has it.
--- a/crates/routing/src/update.rs
+++ b/crates/routing/src/update.rs
@@ -1,6 +1,6 @@
 //! What routers tell each other about backend servers.
 
-use swiftlink_types::Start;
+use swiftlink_types::ServerInstance;
 
 use crate::timing::StreamGaps;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerUpdate {
     /// The observed server instance.
-    pub server: Start,
+    pub server: ServerInstance,
     /// Prefill backlog: prompt tokens of the router's requests that the server has still to
     /// process.
     pub backlog: u64,
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -9,7 +9,7 @@
 use swiftlink_routing::{
     Dispatch, Fleet, FleetPolicy, PickArgs, PrefillIsolation, Prompt, ServerSpec, Warmup,
 };
-use swiftlink_types::{DomainName, Micros, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 const SEC: Micros = 1_000_000;
 /// Requests per second that a cold server can take, and how long a start makes it cold.
@@ -50,7 +50,7 @@
 
 fn specs(load: &Load, now: Micros, cold: bool) -> Vec<ServerSpec> {
     let spec = |server| ServerSpec {
-        instance: Start::from(ServerName::from(format!("s{server}"))),
+        instance: ServerInstance::from(ServerName::from(format!("s{server}"))),
         domain: domain(server),
         vm: None,
         slots: 24,
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -8,7 +8,7 @@
     ErrorKind, ExpectedWait, Fleet, FleetPolicy, LeastReported, ListedVm, LoadReport, PickArgs,
     Policy, Random, RoundRobin, ServerIdx, ServerSpec, TwoChoices,
 };
-use swiftlink_types::{DomainName, ServerName, Start, VmName};
+use swiftlink_types::{DomainName, ServerInstance, ServerName, VmName};
 
 const MS: u64 = 1_000;
 const SEC: u64 = 1_000_000;
@@ -19,7 +19,7 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number| ServerSpec {
-        instance: Start::from(ServerName::from(format!("runner-{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("runner-{number}"))),
         domain: DomainName::from(["rennes-a", "brest"][number % 2]),
         vm: Some(VmName::from(format!("vm-{number}"))),
         slots: 8,
--- a/crates/routing/tests/rests.rs
+++ b/crates/routing/tests/rests.rs
@@ -8,14 +8,14 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use swiftlink_routing::{Fleet, FleetPolicy, PickArgs, PrefillIsolation, ServerIdx, ServerSpec};
-use swiftlink_types::{DomainName, Micros, ServerName, Start};
+use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number: usize| ServerSpec {
-        instance: Start::from(ServerName::from(format!("s{number}").as_str())),
+        instance: ServerInstance::from(ServerName::from(format!("s{number}").as_str())),
         domain: DomainName::from("a"),
         vm: None,
         slots: 8,
@@ -116,7 +116,7 @@
     fleet.on_report(server, 2 * SECOND, swiftlink_routing::LoadReport::default());
     assert_eq!(send(&mut fleet, 3 * SECOND, &mut rng), None);
     let mut next = specs(1);
-    next[0].instance.born = 5;
+    next[0].instance.started = 5;
     fleet.set_config(&next);
     assert!(send(&mut fleet, 4 * SECOND, &mut rng).is_some());
 }
--- a/crates/routing/tests/starts.rs
+++ b/crates/routing/tests/starts.rs
@@ -4,7 +4,7 @@
 use swiftlink_routing::{
     ErrorKind, ExpectedWait, Fleet, FleetPolicy, LoadReport, PickArgs, ServerSpec,
 };
-use swiftlink_types::{DomainName, ServerName, Start};
+use swiftlink_types::{DomainName, ServerInstance, ServerName};
 
 const SEC: u64 = 1_000_000;
 /// Load report of a busy server.
@@ -22,7 +22,7 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number| ServerSpec {
-        instance: Start::from(ServerName::from(format!("runner-{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("runner-{number}"))),
         domain: DomainName::from("rennes-a"),
         vm: None,
         slots: 8,
@@ -50,9 +50,9 @@
 }
 
 /// The servers after a restart of the one at `position`.
-fn restarted(specs: &[ServerSpec], position: usize, born: u64) -> Vec<ServerSpec> {
+fn restarted(specs: &[ServerSpec], position: usize, started: u64) -> Vec<ServerSpec> {
     let mut specs = specs.to_vec();
-    specs[position].instance.born = born;
+    specs[position].instance.started = started;
     specs
 }
 
--- a/crates/routing/tests/unmixed.rs
+++ b/crates/routing/tests/unmixed.rs
@@ -9,7 +9,7 @@
     Dispatch, Fleet, FleetPolicy, PickArgs, Policy, PrefillIsolation, Prompt, Rendezvous,
     ServerIdx, ServerSpec, ServerUpdate, StreamGaps,
 };
-use swiftlink_types::{DomainName, ServerName, Start};
+use swiftlink_types::{DomainName, ServerInstance, ServerName};
 
 const MS: u64 = 1_000;
 const SEC: u64 = 1_000_000;
@@ -28,7 +28,7 @@
     let settings = FleetPolicy::new(DomainName::from("rennes-a"));
     let mut fleet = Fleet::new(settings, policy);
     let spec = |number| ServerSpec {
-        instance: Start::from(name(number)),
+        instance: ServerInstance::from(name(number)),
         domain: DomainName::from("rennes-a"),
         vm: None,
         slots: 64,
@@ -347,8 +347,8 @@
 /// the prefixes of the previous instance don't count as cached.
 #[test]
 fn updates_of_another_instance_are_ignored() {
-    let specs = |born| {
-        let instance = Start::new(name(0), born);
+    let specs = |started| {
+        let instance = ServerInstance::new(name(0), started);
         [ServerSpec {
             instance,
             domain: DomainName::from("rennes-a"),
@@ -373,8 +373,8 @@
     let known = send_for_backlog(&mut fleet, &mut rng, SEC);
     assert!(known < all, "{known} of {all}");
     fleet.set_config(&specs(6));
-    let update = |born| ServerUpdate {
-        server: Start::new(name(0), born),
+    let update = |started| ServerUpdate {
+        server: ServerInstance::new(name(0), started),
         backlog: 0,
         gaps: Vec::new(),
         prefixes: vec![9],
--- a/crates/routing/tests/window.rs
+++ b/crates/routing/tests/window.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{Fleet, FleetPolicy, LoadReport, PickArgs, PrefillIsolation, ServerSpec};
-use swiftlink_types::{DomainName, ServerName, Start};
+use swiftlink_types::{DomainName, ServerInstance, ServerName};
 
 /// Servers in the model pool of the largest fleet.
 const SERVERS: usize = 9_600;
@@ -18,7 +18,7 @@
 
 fn specs(count: usize) -> Vec<ServerSpec> {
     let spec = |number: usize| ServerSpec {
-        instance: Start::from(ServerName::from(format!("s{number}"))),
+        instance: ServerInstance::from(ServerName::from(format!("s{number}"))),
         domain: domain(number % DOMAINS),
         vm: None,
         slots: 32,
