--- a/crates/fetch/src/client.rs
+++ b/crates/fetch/src/client.rs
@@ -147,7 +147,7 @@
         let request = self.request(call)?;
         let answer = self.client.request(request).await;
         answer.map_err(|error| {
-            let text = on_one_line(&error);
+            let text = error_chain(&error);
             if error.is_connect() {
                 HttpError::Unreachable(text)
             } else {
@@ -198,7 +198,7 @@
 
 /// The error and its causes on one line.
 #[must_use]
-pub fn on_one_line(error: &dyn std::error::Error) -> String {
+pub fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/fetch/src/lib.rs
+++ b/crates/fetch/src/lib.rs
@@ -9,6 +9,6 @@
 mod json;
 mod vms;
 
-pub use client::{Answer, Call, Http, HttpError, on_one_line};
+pub use client::{Answer, Call, Http, HttpError, error_chain};
 pub use json::{JsonError, Limits};
 pub use vms::{Vm, VmList, VmState};
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use swiftlink_ledger::{Ledger, LedgerSettings};
 use swiftlink_link::{Client, LinkError, Secret};
 use swiftlink_log::{Log, LogError, MemLog};
-use swiftlink_settings::{Common, HiddenText, LinkPeer};
+use swiftlink_settings::{Common, LinkPeer, SecretString};
 use swiftlink_telemetry::Metrics;
 use swiftlink_types::{RequestKey, StreamName, wall_ms};
 use swiftlink_wire::link::{Settle, Submit, Submitted, reply, request};
@@ -105,7 +105,7 @@
             vm: vm.to_owned(),
             domain: "d".to_owned(),
             admin: nowhere,
-            secret: HiddenText::new(SECRET),
+            secret: SecretString::new(SECRET),
             log_level: "info".to_owned(),
             statsd: None,
         },
--- a/crates/log/src/http.rs
+++ b/crates/log/src/http.rs
@@ -12,7 +12,7 @@
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 use prost::Message;
 use serde::Deserialize;
-use swiftlink_fetch::on_one_line;
+use swiftlink_fetch::error_chain;
 use swiftlink_types::StreamName;
 use swiftlink_wire::log::LogPage;
 
@@ -166,7 +166,7 @@
 
 /// A request that found no connection was certainly not sent.
 fn classify(error: &hyper_util::client::legacy::Error) -> LogError {
-    let detail = on_one_line(error);
+    let detail = error_chain(error);
     if error.is_connect() {
         LogError::Out(detail)
     } else {
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use swiftlink_settings::{CheckError, Common, HiddenText, LinkPeer, Settings, check_peers};
+use swiftlink_settings::{CheckError, Common, LinkPeer, SecretString, Settings, check_peers};
 
 /// Shortest token that is taken (bytes).
 const TOKEN_MIN: usize = 16;
@@ -20,7 +20,7 @@
     /// Address of the resource interface.
     pub listen: SocketAddr,
     /// Credential that operators send; 16 bytes or more.
-    pub token: HiddenText,
+    pub token: SecretString,
     /// Address of the platform's log.
     pub log: SocketAddr,
     /// Ledgers asked for budgets, and for the configuration while the log is out.
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
-use swiftlink_stream::{DONE, Ended, Usage, event_id};
+use swiftlink_stream::{DONE, FinishedAnswer, Usage, event_id};
 use swiftlink_types::{Outcome, Refusal, RequestKey, Tokens, WallMs};
 
 /// What a completed answer says of its charge.
@@ -85,7 +85,7 @@
     /// A chat completion rather than a plain one.
     pub chat: bool,
     /// Text, end and usage.
-    pub ended: Ended,
+    pub ended: FinishedAnswer,
 }
 
 /// The body of a whole answer.
@@ -116,7 +116,7 @@
 }
 
 /// The message of a whole chat answer.
-fn message(ended: &Ended) -> Value {
+fn message(ended: &FinishedAnswer) -> Value {
     let mut message = ended.message.clone();
     message.insert("role".to_owned(), json!("assistant"));
     // A message of tool calls alone has a null for its text.
--- a/crates/router/src/reader.rs
+++ b/crates/router/src/reader.rs
@@ -99,7 +99,7 @@
     #[must_use]
     pub fn resuming(address: SocketAddr, stream: String, from: u64, options: ReadOptions) -> Self {
         let mut reader = Self::idle(address, Some(stream), from, options);
-        reader.assembler.cut();
+        reader.assembler.on_disconnect();
         reader
     }
 
@@ -142,10 +142,10 @@
             if let Some(chunk) = self.assembler.pop() {
                 return Ok(Some(chunk));
             }
-            if self.assembler.is_whole() {
+            if self.assembler.is_complete() {
                 return Ok(None);
             }
-            if let Some(from) = self.assembler.missing(self.now()) {
+            if let Some(from) = self.assembler.resume_from(self.now()) {
                 self.resume(from).await?;
                 continue;
             }
@@ -185,7 +185,7 @@
             None => self.options.stall,
         };
         let Some(events) = self.events.as_mut() else {
-            self.assembler.cut();
+            self.assembler.on_disconnect();
             return Ok(());
         };
         match timeout(limit, events.next()).await {
@@ -246,7 +246,7 @@
                 self.cut = None;
                 self.attach(answer);
                 let now = self.now();
-                self.assembler.resumed(now);
+                self.assembler.on_resume(now);
                 Ok(())
             }
             StatusCode::NOT_FOUND | StatusCode::GONE => Err(ReadError::Gone),
@@ -264,7 +264,7 @@
     fn detach(&mut self) {
         self.events = None;
         self.lease = None;
-        self.assembler.cut();
+        self.assembler.on_disconnect();
     }
 
     fn now(&self) -> Micros {
--- a/crates/router/src/sink.rs
+++ b/crates/router/src/sink.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
 use http::{HeaderMap, HeaderValue, StatusCode};
-use swiftlink_stream::{Completion, StreamEvent, WholeAnswer, parse_event};
+use swiftlink_stream::{AnswerBuilder, Completion, StreamEvent, parse_event};
 use swiftlink_types::{OUTCOME_HEADER, Outcome, Refusal, RequestKey, Tokens, wall_ms};
 use tokio::sync::mpsc;
 
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Collect {
     reply: Option<ReplySender>,
-    whole: WholeAnswer,
+    whole: AnswerBuilder,
     id: String,
     model: String,
     chat: bool,
@@ -63,7 +63,7 @@
     pub fn collect(reply: ReplySender, model: &str, chat: bool) -> Self {
         Self::Collect(Collect {
             reply: Some(reply),
-            whole: WholeAnswer::default(),
+            whole: AnswerBuilder::default(),
             id: String::new(),
             model: model.to_owned(),
             chat,
@@ -74,7 +74,7 @@
     pub fn begin(&mut self, token: String) {
         match self {
             Self::Events(events) => events.token = token,
-            Self::Collect(collect) => collect.whole = WholeAnswer::default(),
+            Self::Collect(collect) => collect.whole = AnswerBuilder::default(),
         }
     }
 
--- a/crates/router/tests/answer.rs
+++ b/crates/router/tests/answer.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use swiftlink_router::answer::{Receipt, Whole, event, tokens_run, whole, with_receipt};
 use swiftlink_router::forward::{end_to_end, for_server};
-use swiftlink_stream::{StreamEvent, Usage, WholeAnswer, parse_event, parse_event_id};
+use swiftlink_stream::{AnswerBuilder, StreamEvent, Usage, parse_event, parse_event_id};
 use swiftlink_types::RequestKey;
 
 #[test]
@@ -44,7 +44,7 @@
             { "index": 0, "function": { "arguments": "12}" } },
         ]}, "finish_reason": "tool_calls" }], "usage": { "total_tokens": 5 } }),
     ];
-    let mut parts = WholeAnswer::default();
+    let mut parts = AnswerBuilder::default();
     for event in events {
         let Ok(StreamEvent::Part(part)) = parse_event(event.to_string().as_bytes()) else {
             panic!("no part: {event}");
--- a/crates/settings/src/common.rs
+++ b/crates/settings/src/common.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{CheckError, HiddenText};
+use crate::{CheckError, SecretString};
 
 const SECRET_MIN: usize = 16;
 const LEVELS: [&str; 7] = ["off", "critical", "error", "warn", "info", "debug", "trace"];
@@ -20,7 +20,7 @@
     /// Address of the admin endpoint (dump, status, log level).
     pub admin: SocketAddr,
     /// Shared secret of the links between swiftlink processes; 16 characters or more.
-    pub secret: HiddenText,
+    pub secret: SecretString,
     /// Lowest level of events that are logged.
     #[serde(default = "default_level")]
     pub log_level: String,
--- a/crates/settings/src/hidden.rs
+++ b/crates/settings/src/hidden.rs
@@ -9,9 +9,9 @@
 /// A secret from the settings; printing or serializing it gives `***`.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
-pub struct HiddenText(String);
+pub struct SecretString(String);
 
-impl HiddenText {
+impl SecretString {
     /// Wraps `text`.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
@@ -30,13 +30,13 @@
     }
 }
 
-impl fmt::Debug for HiddenText {
+impl fmt::Debug for SecretString {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(MASK)
     }
 }
 
-impl Serialize for HiddenText {
+impl Serialize for SecretString {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(MASK)
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use common::{Common, LinkPeer, check_peers};
 pub use error::{CheckError, SettingsError};
-pub use hidden::HiddenText;
+pub use hidden::SecretString;
 
 /// Settings of a daemon.
 pub trait Settings: DeserializeOwned + Serialize {
--- a/crates/stream/src/assembler.rs
+++ b/crates/stream/src/assembler.rs
@@ -157,12 +157,12 @@
     }
 
     /// The connection to the engine ended; what has not come will not.
-    pub fn cut(&mut self) {
+    pub fn on_disconnect(&mut self) {
         self.cut = true;
     }
 
-    /// A resume from [`Self::missing`] was asked for; its chunks may come now.
-    pub fn resumed(&mut self, now: Micros) {
+    /// A resume from [`Self::resume_from`] was asked for; its chunks may come now.
+    pub fn on_resume(&mut self, now: Micros) {
         self.cut = false;
         self.gap_since = self.has_gap().then_some(now);
     }
@@ -176,8 +176,8 @@
     /// part will not come by itself: the connection was cut, or a gap has lasted
     /// longer than the policy's patience.
     #[must_use]
-    pub fn missing(&self, now: Micros) -> Option<u64> {
-        if self.is_whole() {
+    pub fn resume_from(&self, now: Micros) -> Option<u64> {
+        if self.is_complete() {
             return None;
         }
         if self.cut {
@@ -188,7 +188,7 @@
         (waited >= self.policy.patience).then_some(self.next)
     }
 
-    /// When [`Self::missing`] should be asked again, while a gap is open.
+    /// When [`Self::resume_from`] should be asked again, while a gap is open.
     #[must_use]
     pub fn check_at(&self) -> Option<Micros> {
         let since = self.gap_since?;
@@ -197,14 +197,14 @@
 
     /// Whether all chunks up to the engine's end mark were taken, popped or not.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.end == Some(self.next)
     }
 
     /// Whether the answer is whole and every chunk was popped.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.is_whole() && self.ready.is_empty()
+        self.is_complete() && self.ready.is_empty()
     }
 
     /// Number of the first chunk that has not been taken in order.
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -20,4 +20,4 @@
     Usage, bound_prompt, bound_tokens, parse_event, parse_request,
 };
 pub use token::{ResumeToken, TokenError, TokenSecret, event_id, parse_event_id};
-pub use whole::{Ended, WholeAnswer};
+pub use whole::{AnswerBuilder, FinishedAnswer};
--- a/crates/stream/src/whole.rs
+++ b/crates/stream/src/whole.rs
@@ -6,7 +6,7 @@
 
 /// How an answer ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
+pub struct FinishedAnswer {
     /// The whole text; `None` when no part had any.
     pub text: Option<String>,
     /// Why it ended, in the engine's word.
@@ -21,8 +21,8 @@
 
 /// Builds a whole answer from its parts in order.
 #[derive(Clone, Debug, Default)]
-pub struct WholeAnswer {
-    ended: Ended,
+pub struct AnswerBuilder {
+    ended: FinishedAnswer,
     calls: Vec<Call>,
     usage: Option<Usage>,
 }
@@ -34,7 +34,7 @@
     fields: Map<String, Value>,
 }
 
-impl WholeAnswer {
+impl AnswerBuilder {
     /// Adds the next part.
     pub fn add(&mut self, part: &Completion) {
         if part.usage.is_some() {
@@ -112,7 +112,7 @@
 
     /// The whole; `None` when the engine never told the tokens run.
     #[must_use]
-    pub fn finish(self) -> Option<Ended> {
+    pub fn finish(self) -> Option<FinishedAnswer> {
         let usage = self.usage?;
         let mut ended = self.ended;
         ended.usage = usage;
--- a/crates/stream/tests/assembler.rs
+++ b/crates/stream/tests/assembler.rs
@@ -68,15 +68,15 @@
                 }
                 prop_assert!(!assembler.is_done() || out.len() as u64 == length - from);
             }
-            assembler.cut();
-            let Some(next) = assembler.missing(now) else {
+            assembler.on_disconnect();
+            let Some(next) = assembler.resume_from(now) else {
                 break;
             };
             prop_assert_eq!(next, assembler.next());
-            assembler.resumed(now);
+            assembler.on_resume(now);
         }
-        if let Some(next) = { assembler.cut(); assembler.missing(now) } {
-            assembler.resumed(now);
+        if let Some(next) = { assembler.on_disconnect(); assembler.resume_from(now) } {
+            assembler.on_resume(now);
             for number in next..length {
                 assembler.push(number, data(number), now).expect("below the end");
             }
@@ -93,11 +93,11 @@
     let mut assembler = Assembler::new(policy(), 0);
     assembler.push(0, data(0), 0).expect("first");
     assembler.push(2, data(2), 10).expect("early");
-    assert_eq!(assembler.missing(50), None);
+    assert_eq!(assembler.resume_from(50), None);
     assert_eq!(assembler.check_at(), Some(110));
-    assert_eq!(assembler.missing(110), Some(1));
+    assert_eq!(assembler.resume_from(110), Some(1));
     assembler.push(1, data(1), 111).expect("late");
-    assert_eq!(assembler.missing(500), None);
+    assert_eq!(assembler.resume_from(500), None);
 }
 
 #[test]
@@ -105,16 +105,16 @@
     let mut assembler = Assembler::new(policy(), 0);
     assembler.push(0, data(0), 0).expect("first");
     assembler.end(2, 5).expect("end");
-    assert!(!assembler.is_whole());
-    assert_eq!(assembler.missing(105), Some(1));
+    assert!(!assembler.is_complete());
+    assert_eq!(assembler.resume_from(105), Some(1));
 }
 
 #[test]
 fn end_of_the_connection_is_not_the_end_of_the_answer() {
     let mut assembler = Assembler::new(policy(), 0);
     assembler.push(0, data(0), 0).expect("first");
-    assembler.cut();
-    assert_eq!(assembler.missing(0), Some(1));
+    assembler.on_disconnect();
+    assert_eq!(assembler.resume_from(0), Some(1));
     assert!(!assembler.is_done());
 }
 
@@ -129,7 +129,7 @@
     assert_eq!(over, Taken::Full);
     assembler.push(0, data(0), 1).expect("first");
     assembler.end(10, 1).expect("end");
-    assert_eq!(assembler.missing(101), Some(9));
+    assert_eq!(assembler.resume_from(101), Some(9));
 }
 
 #[test]
--- a/crates/stream/tests/openai.rs
+++ b/crates/stream/tests/openai.rs
@@ -1,7 +1,7 @@
 //! OpenAI-style bodies: fields checked and named, cost bounded, parts put together.
 
 use swiftlink_stream::{
-    Ended, StreamEvent, Usage, WholeAnswer, bound_tokens, parse_event, parse_request,
+    AnswerBuilder, FinishedAnswer, StreamEvent, Usage, bound_tokens, parse_event, parse_request,
 };
 
 fn field(body: &str, chat: bool) -> String {
@@ -82,7 +82,7 @@
         r#"{"id":"a","object":"o","choices":[{"index":0,"delta":{"content":"ven"}}]}"#,
         r#"{"id":"a","object":"o","choices":[{"index":0,"delta":{},"finish_reason":"stop"}],"usage":{"prompt_tokens":3,"completion_tokens":2,"total_tokens":5}}"#,
     ];
-    let mut whole = WholeAnswer::default();
+    let mut whole = AnswerBuilder::default();
     for event in events {
         let StreamEvent::Part(part) = parse_event(event.as_bytes()).expect("an event") else {
             panic!("no end mark yet");
@@ -95,12 +95,12 @@
         completion_tokens: 2,
         total_tokens: 5,
     };
-    let ended = Ended {
+    let ended = FinishedAnswer {
         text: Some("Seven".to_owned()),
         finish: Some("stop".to_owned()),
         usage,
-        ..Ended::default()
+        ..FinishedAnswer::default()
     };
     assert_eq!(whole.finish(), Some(ended));
-    assert_eq!(WholeAnswer::default().finish(), None);
+    assert_eq!(AnswerBuilder::default().finish(), None);
 }
--- a/crates/stream/tests/whole.rs
+++ b/crates/stream/tests/whole.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use serde_json::{Map, Value, json};
-use swiftlink_stream::{Ended, StreamEvent, Usage, WholeAnswer, parse_event};
+use swiftlink_stream::{AnswerBuilder, FinishedAnswer, StreamEvent, Usage, parse_event};
 
 const USAGE: Usage = Usage {
     prompt_tokens: 3,
@@ -11,8 +11,8 @@
 };
 
 /// Puts the choices of `deltas` together, as an engine's chat stream brings them.
-fn whole(deltas: &[Value]) -> Ended {
-    let mut whole = WholeAnswer::default();
+fn whole(deltas: &[Value]) -> FinishedAnswer {
+    let mut whole = AnswerBuilder::default();
     for delta in deltas {
         whole.add(&part(
             &json!({ "index": 0, "delta": delta, "finish_reason": null }),
@@ -110,7 +110,7 @@
             })).collect();
             message.insert("tool_calls".to_owned(), json!(list));
         }
-        let expected = Ended {
+        let expected = FinishedAnswer {
             text: Some(text),
             finish: Some("tool_calls".to_owned()),
             usage: USAGE,
@@ -143,7 +143,7 @@
 
 #[test]
 fn log_probabilities_are_put_in_one_list() {
-    let mut whole = WholeAnswer::default();
+    let mut whole = AnswerBuilder::default();
     for token in ["Se", "ven"] {
         let logprobs = json!({ "content": [{ "token": token, "logprob": -0.5 }], "refusal": null });
         whole.add(&part(&json!({
