--- a/crates/settings/src/hidden.rs
+++ b/crates/settings/src/secret.rs
@@ -1,4 +1,4 @@
-//! Text that is never printed.
+//! Secrets that are never printed.
 
 use std::fmt;
 
@@ -6,37 +6,37 @@
 
 const MASK: &str = "***";
 
-/// A secret from the settings; printing or serializing it gives `***`.
+/// A secret from the settings; its `Debug` and serialized forms are `***`.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
-pub struct HiddenText(String);
+pub struct SecretString(String);
 
-impl HiddenText {
+impl SecretString {
     /// Wraps `text`.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// The secret itself.
+    /// Returns the secret.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Whether the secret has no characters.
+    /// Whether the secret is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-impl fmt::Debug for HiddenText {
+impl fmt::Debug for SecretString {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(MASK)
     }
 }
 
-impl Serialize for HiddenText {
+impl Serialize for SecretString {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(MASK)
     }
