--- a/crates/budget/src/budgets.rs
+++ b/crates/budget/src/budgets.rs
@@ -1,11 +1,11 @@
-//! Totals of each budget.
+//! Token totals of each budget.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use swiftlink_types::Tokens;
 
-use crate::names::Names;
+use crate::interner::NameInterner;
 use crate::routers::RouterId;
 
 /// Totals of one budget (tokens).
@@ -13,27 +13,27 @@
 pub(crate) struct Account {
     pub(crate) topped_up: Tokens,
     pub(crate) charged: Tokens,
-    /// Held by active and retired incarnations together.
+    /// Unspent grants of active and retired incarnations together.
     pub(crate) held: Tokens,
-    /// Identifiers of the top-ups counted.
+    /// Identifiers of the top-ups that were counted.
     pub(crate) top_ups: BTreeSet<Arc<str>>,
-    /// Incarnations that claimed on the budget and are not released.
+    /// Incarnations that claimed tokens of the budget and are not released.
     pub(crate) claimants: BTreeSet<RouterId>,
 }
 
 impl Account {
-    /// What may still be granted.
+    /// Tokens that may still be granted.
     pub(crate) fn free(&self) -> Tokens {
         let used = self.charged.checked_add(self.held);
         let free = used.and_then(|used| self.topped_up.checked_sub(used));
-        free.expect("grants come out of what is free, and charges out of grants")
+        free.expect("grants are taken from free tokens, and charges from grants")
     }
 }
 
-/// Every budget that a record named in a way that changed it.
+/// Every budget that was topped up or claimed, by interned name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Budgets {
-    names: Names,
+    names: NameInterner,
     accounts: Vec<Account>,
 }
 
@@ -62,7 +62,7 @@
         &mut self.accounts[id as usize]
     }
 
-    /// Every budget's number, by name.
+    /// Ids of all budgets, sorted by name.
     pub(crate) fn sorted(&self) -> Vec<u32> {
         self.names.sorted()
     }
--- a/crates/budget/src/charges.rs
+++ b/crates/budget/src/charges.rs
@@ -1,4 +1,4 @@
-//! Charges of requests that ran.
+//! Charges for executed requests.
 
 use swiftlink_types::{RequestKey, Tokens};
 use swiftlink_wire::log as wire;
@@ -6,11 +6,11 @@
 use wire::fate::Kind as FateKind;
 
 use crate::Fold;
-use crate::reply::malformed;
+use crate::fates::malformed;
 use crate::routers::RouterId;
 
 impl Fold {
-    /// What the key was charged; `None` if it was not, or is forgotten.
+    /// Cost charged for a request key (tokens); `None` if it wasn't charged or was evicted.
     #[must_use]
     pub fn charged(&self, workspace: &str, key: RequestKey) -> Option<Tokens> {
         self.keys.find(workspace, key)?.cost
@@ -20,7 +20,7 @@
         let Some(inc) = charges.incarnation.as_ref() else {
             return malformed();
         };
-        let Some(keys) = parse_all(&charges.items) else {
+        let Some(keys) = parse_keys(&charges.items) else {
             return malformed();
         };
         let id = self.routers.find(&inc.vm, inc.epoch);
@@ -54,11 +54,12 @@
         if !self.draw(id, item) {
             return ChargeFate::Overdrawn;
         }
-        self.settle(id, item, key);
+        self.record_charge(id, item, key);
         ChargeFate::Charged
     }
 
-    /// Draws the cost on what the incarnation holds; `false` if it holds less.
+    /// Deducts the cost from the incarnation's grant. Returns `false` if the grant has
+    /// fewer tokens left.
     fn draw(&mut self, id: RouterId, item: &wire::Charge) -> bool {
         let budget = self.budgets.find(&item.budget);
         let router = self.routers.get_mut(id);
@@ -76,22 +77,22 @@
         true
     }
 
-    /// Remembers the key as charged. A key that is forgotten already stays so.
-    fn settle(&mut self, id: RouterId, item: &wire::Charge, key: RequestKey) {
-        if key.created_ms() < self.evicted {
+    /// Records the key as charged, unless it is old enough to be evicted already.
+    fn record_charge(&mut self, id: RouterId, item: &wire::Charge, key: RequestKey) {
+        if key.created_ms() < self.evicted_before {
             return;
         }
         let state = self.keys.entry(&item.workspace, key);
         state.cost = Some(item.cost);
         if state.owner.is_none() {
             state.owner = Some(id);
-            self.routers.get_mut(id).keys += 1;
+            self.routers.get_mut(id).key_refs += 1;
         }
     }
 }
 
-/// The keys of all items, or `None` if an item is malformed.
-fn parse_all(items: &[wire::Charge]) -> Option<Vec<RequestKey>> {
+/// Parses the keys of all items; `None` if an item is malformed.
+fn parse_keys(items: &[wire::Charge]) -> Option<Vec<RequestKey>> {
     let mut keys = Vec::with_capacity(items.len());
     for item in items {
         let numbered = (1..u64::MAX).contains(&item.serial);
--- a/crates/budget/src/claims.rs
+++ b/crates/budget/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims and returns of rights.
+//! Claims and returns of token grants.
 
 use swiftlink_types::Tokens;
 use swiftlink_wire::log as wire;
@@ -6,14 +6,14 @@
 use wire::fate::Kind as FateKind;
 
 use crate::Fold;
-use crate::reply::{applied, duplicate, malformed, rejected, unknown};
+use crate::fates::{applied, duplicate, malformed, rejected, unknown};
 use crate::router::Router;
 use crate::routers::RouterId;
 
-/// Most other holders that a claim's answer names.
-const HOLDERS_MAX: usize = 3;
-/// A claim gets at most the free tokens divided by this and by the sharers, unless
-/// it needs more, so that the end of a budget is shared.
+/// Largest number of other holders that a claim's answer names.
+const MAX_NAMED_HOLDERS: usize = 3;
+/// Unless it needs more, a claim gets at most the free tokens divided by this and by
+/// the number of claiming routers, so that several routers share the last tokens.
 const SHARE_DIVISOR: Tokens = 2;
 
 impl Fold {
@@ -46,14 +46,14 @@
         FateKind::Claim(answer)
     }
 
-    /// Moves rights from the budget to the incarnation; returns how many.
+    /// Moves free tokens of the budget to the incarnation; returns how many.
     fn grant(&mut self, id: RouterId, budget: u32, claim: &wire::Claim) -> Tokens {
         let free = self.budgets.get(budget).free();
         let sharers = self.sharers(budget).count() as Tokens;
         let grant = self.routers.get_mut(id).grants.entry(budget).or_default();
-        // The sum since the join is kept, which must not overflow.
-        let room = Tokens::MAX - grant.granted;
-        let amount = share(free, sharers, claim).min(room);
+        // `granted` is a sum since the join and must not overflow.
+        let headroom = Tokens::MAX - grant.granted;
+        let amount = claim_amount(free, sharers, claim).min(headroom);
         if amount < claim.need {
             return 0;
         }
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Active incarnations that claimed on the budget.
+    /// Active incarnations that claimed tokens of the budget.
     fn sharers(&self, budget: u32) -> impl Iterator<Item = (RouterId, &Router)> {
         let ids = self.budgets.get(budget).claimants.iter();
         let known = ids.map(|id| (*id, self.routers.get(*id)));
         known.filter(|(_, router)| router.is_active())
     }
 
-    /// The largest other active holders.
+    /// The other active incarnations that hold the most tokens of the budget.
     fn holders(&self, id: RouterId, budget: u32) -> Vec<wire::Holder> {
         let others = self.sharers(budget).filter(|(other, _)| *other != id);
         let mut holders: Vec<(Tokens, &Router)> = others
@@ -95,12 +95,12 @@
         holders.sort_unstable_by(|(held, router), (other_held, other)| {
             other_held
                 .cmp(held)
-                .then_with(|| router.rank().cmp(&other.rank()))
+                .then_with(|| router.sort_key().cmp(&other.sort_key()))
         });
-        holders.truncate(HOLDERS_MAX);
+        holders.truncate(MAX_NAMED_HOLDERS);
         holders
             .into_iter()
-            .map(|(held, router)| holder(held, router))
+            .map(|(held, router)| to_holder(held, router))
             .collect()
     }
 
@@ -128,7 +128,9 @@
     }
 }
 
-fn share(free: Tokens, sharers: Tokens, claim: &wire::Claim) -> Tokens {
+/// Tokens to grant: `want`, limited to the fair share but at least `need`. Zero if the
+/// budget has fewer than `need` tokens free.
+fn claim_amount(free: Tokens, sharers: Tokens, claim: &wire::Claim) -> Tokens {
     if free < claim.need {
         return 0;
     }
@@ -140,7 +142,7 @@
     router.grants.get(&budget).map_or(0, |grant| grant.held())
 }
 
-fn holder(held: Tokens, router: &Router) -> wire::Holder {
+fn to_holder(held: Tokens, router: &Router) -> wire::Holder {
     wire::Holder {
         incarnation: Some(router.wire_identity()),
         address: router.address.to_string(),
--- a/crates/budget/src/fold.rs
+++ b/crates/budget/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of a budget stream.
+//! State machine over the records of a budget stream.
 
 use std::sync::Arc;
 
@@ -11,23 +11,23 @@
 
 use crate::batch::BatchFate;
 use crate::budgets::Budgets;
+use crate::fates;
 use crate::keys::Keys;
-use crate::reply;
 use crate::routers::{RouterId, Routers};
 use crate::snapshot;
 
-/// State of a budget stream. Equal records in equal order give equal states.
+/// State of a budget stream. The same records in the same order give the same state.
 #[derive(Clone, Debug, Default)]
 pub struct Fold {
     pub(crate) budgets: Budgets,
     pub(crate) routers: Routers,
     pub(crate) keys: Keys,
-    /// Keys created before this are forgotten (ms since 1970).
-    pub(crate) evicted: WallMs,
+    /// Keys created before this time are evicted (ms since 1970).
+    pub(crate) evicted_before: WallMs,
 }
 
 impl Fold {
-    /// Decides the records of a batch in their order.
+    /// Applies the records of a batch in order and returns their fates.
     pub fn decide(&mut self, batch: &wire::Batch) -> BatchFate {
         let mut fates = Vec::with_capacity(batch.records.len());
         for record in &batch.records {
@@ -54,8 +54,8 @@
             Some(Kind::Intent(intent)) => self.intent(intent),
             Some(Kind::Abandon(abandon)) => self.abandon(abandon),
             Some(Kind::Mark(mark)) => self.mark(mark),
-            // A snapshot chunk stands alone in its log record.
-            Some(Kind::Snapshot(_)) | None => reply::malformed(),
+            // A snapshot chunk is valid only as the single record of its batch.
+            Some(Kind::Snapshot(_)) | None => fates::malformed(),
         }
     }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// The snapshot chunk of a batch that holds just that, else the batch.
+/// Returns the snapshot chunk of a batch that holds nothing else, or else the batch.
 fn lone_chunk(mut batch: wire::Batch) -> Result<wire::SnapshotChunk, wire::Batch> {
     let is_chunk = |record: &wire::Record| matches!(record.kind, Some(Kind::Snapshot(_)));
     if batch.records.len() != 1 || !batch.records.first().is_some_and(is_chunk) {
--- a/crates/budget/src/intents.rs
+++ b/crates/budget/src/intents.rs
@@ -1,4 +1,4 @@
-//! Intents: which incarnation may run a non-idempotent request.
+//! Intents: which incarnation may execute a non-idempotent request.
 
 use swiftlink_types::RequestKey;
 use swiftlink_wire::log as wire;
@@ -6,21 +6,21 @@
 use wire::fate::Kind as FateKind;
 
 use crate::Fold;
-use crate::reply::{applied, duplicate, malformed, rejected, unknown};
+use crate::fates::{applied, duplicate, malformed, rejected, unknown};
 use crate::routers::RouterId;
 
 impl Fold {
     pub(crate) fn intent(&mut self, intent: &wire::Intent) -> FateKind {
-        let Some(key) = parse(&intent.key, &intent.workspace) else {
+        let Some(key) = parse_key(&intent.key, &intent.workspace) else {
             return malformed();
         };
-        if key.created_ms() < self.evicted {
+        if key.created_ms() < self.evicted_before {
             return rejected(RejectReason::KeyTooOld);
         }
         let Some(id) = self.find_router(intent.incarnation.as_ref()) else {
             return unknown();
         };
-        if let Some(fate) = self.decided(id, &intent.workspace, key) {
+        if let Some(fate) = self.earlier_fate(id, &intent.workspace, key) {
             return FateKind::Intent(fate);
         }
         if !self.routers.get(id).is_active() {
@@ -28,25 +28,31 @@
         }
         let state = self.keys.entry(&intent.workspace, key);
         state.owner = Some(id);
-        state.intent = true;
-        self.routers.get_mut(id).keys += 1;
-        FateKind::Intent(self.fate(true, Some(id), false))
+        state.has_intent = true;
+        self.routers.get_mut(id).key_refs += 1;
+        FateKind::Intent(self.intent_fate(true, Some(id), false))
     }
 
-    /// The fate of an intent that the records before have decided.
-    fn decided(&self, id: RouterId, workspace: &str, key: RequestKey) -> Option<wire::IntentFate> {
+    /// Fate of an intent on a key that earlier records have decided; `None` if the key is
+    /// still available to the incarnation.
+    fn earlier_fate(
+        &self,
+        id: RouterId,
+        workspace: &str,
+        key: RequestKey,
+    ) -> Option<wire::IntentFate> {
         let state = self.keys.find(workspace, key)?;
         if state.cost.is_some() {
-            return Some(self.fate(false, state.owner, true));
+            return Some(self.intent_fate(false, state.owner, true));
         }
-        if state.intent {
-            return Some(self.fate(state.owner == Some(id), state.owner, false));
+        if state.has_intent {
+            return Some(self.intent_fate(state.owner == Some(id), state.owner, false));
         }
         let abandoned = state.abandoned.contains(&id);
-        abandoned.then(|| self.fate(false, None, false))
+        abandoned.then(|| self.intent_fate(false, None, false))
     }
 
-    fn fate(&self, won: bool, owner: Option<RouterId>, charged: bool) -> wire::IntentFate {
+    fn intent_fate(&self, won: bool, owner: Option<RouterId>, charged: bool) -> wire::IntentFate {
         wire::IntentFate {
             won,
             owner: owner.map(|id| self.routers.get(id).wire_identity()),
@@ -54,13 +60,13 @@
         }
     }
 
-    /// Takes an incarnation's word that it will not run a key, also when its intent
-    /// has not arrived or lost: a late copy of that intent must not win.
+    /// Records that an incarnation won't execute a key. It is recorded even if the
+    /// incarnation's intent lost or hasn't arrived: a late copy of it must not win.
     pub(crate) fn abandon(&mut self, abandon: &wire::Abandon) -> FateKind {
-        let Some(key) = parse(&abandon.key, &abandon.workspace) else {
+        let Some(key) = parse_key(&abandon.key, &abandon.workspace) else {
             return malformed();
         };
-        if key.created_ms() < self.evicted {
+        if key.created_ms() < self.evicted_before {
             return rejected(RejectReason::KeyTooOld);
         }
         let Some(id) = self.find_router(abandon.incarnation.as_ref()) else {
@@ -78,18 +84,18 @@
         }
         let state = self.keys.entry(&abandon.workspace, key);
         state.abandoned.push(id);
-        if state.intent && state.owner == Some(id) {
-            // The reference of the owner becomes that of the abandonment.
+        if state.has_intent && state.owner == Some(id) {
+            // The reference counted for the owner now counts for the abandonment.
             state.owner = None;
-            state.intent = false;
+            state.has_intent = false;
         } else {
-            self.routers.get_mut(id).keys += 1;
+            self.routers.get_mut(id).key_refs += 1;
         }
         applied()
     }
 }
 
-fn parse(key: &[u8], workspace: &str) -> Option<RequestKey> {
+fn parse_key(key: &[u8], workspace: &str) -> Option<RequestKey> {
     if workspace.is_empty() {
         return None;
     }
--- a/crates/budget/src/names.rs
+++ b/crates/budget/src/interner.rs
@@ -1,22 +1,22 @@
-//! Small numbers in place of names, so that known names cost no allocation.
+//! Interning of names as small integers, so that known names cost no allocation.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Names by number and numbers by name. The numbers differ between processes and
-/// never leave one.
+/// Maps names to ids and back. Ids are local to a process: they differ between
+/// processes and must not be sent or stored.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Names {
+pub(crate) struct NameInterner {
     by_name: HashMap<Arc<str>, u32>,
     by_id: Vec<Arc<str>>,
 }
 
-impl Names {
+impl NameInterner {
     pub(crate) fn find(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).copied()
     }
 
-    /// The number of a name, a new one if the name is new.
+    /// Returns the id of a name, assigning one to a new name.
     pub(crate) fn intern(&mut self, name: &str) -> u32 {
         if let Some(id) = self.find(name) {
             return id;
@@ -32,7 +32,7 @@
         &self.by_id[id as usize]
     }
 
-    /// Every number, by name.
+    /// All ids, sorted by name.
     pub(crate) fn sorted(&self) -> Vec<u32> {
         let mut ids: Vec<u32> = (0..).take(self.by_id.len()).collect();
         ids.sort_unstable_by_key(|id| self.name(*id));
--- a/crates/budget/src/lifecycle.rs
+++ b/crates/budget/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Joins, retirements, releases, marks and top-ups.
+//! Top-ups, and the life cycle of router incarnations: joins, retirements, releases
+//! and marks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,12 +10,12 @@
 use wire::fate::Kind as FateKind;
 
 use crate::Fold;
-use crate::reply::{applied, duplicate, malformed, rejected, unknown};
+use crate::fates::{applied, duplicate, malformed, rejected, unknown};
 use crate::router::{Phase, Router};
 use crate::routers::RouterId;
 use crate::serials::Serials;
 
-/// First time that a request key can't carry (ms since 1970).
+/// Exclusive upper bound of the 48-bit timestamp in a request key (ms since 1970).
 const KEY_TIME_END: WallMs = 1 << 48;
 
 impl Fold {
@@ -46,32 +47,33 @@
         }
         if let Some(id) = self.routers.find(&inc.vm, inc.epoch) {
             let router = self.routers.get(id);
-            // Two processes must not share an identity, even if their clocks agree.
-            let active = router.is_active() && router.is_at(&join.address);
-            return self.joined(inc, &join.address, active);
+            // Two processes must not share an identity, even if they started at the same time.
+            let active = router.is_active() && router.has_address(&join.address);
+            return self.join_fate(inc, &join.address, active);
         }
         let newest = self.routers.newest(&inc.vm, &join.address);
-        if newest >= Some(inc.epoch) || self.routers.is_former(&inc.vm, inc.epoch) {
-            return self.joined(inc, &join.address, false);
+        if newest >= Some(inc.epoch) || self.routers.is_forgotten(&inc.vm, inc.epoch) {
+            return self.join_fate(inc, &join.address, false);
         }
         self.retire_older(&inc.vm, &join.address);
         self.routers.add(new_router(inc, join));
         self.evict();
-        self.joined(inc, &join.address, true)
+        self.join_fate(inc, &join.address, true)
     }
 
-    fn joined(&self, inc: &wire::Incarnation, address: &str, active: bool) -> FateKind {
+    fn join_fate(&self, inc: &wire::Incarnation, address: &str, active: bool) -> FateKind {
         let newest = self.routers.newest(&inc.vm, address).unwrap_or(inc.epoch);
         FateKind::Join(wire::JoinFate {
             active,
             newest_epoch: if active { 0 } else { newest },
-            evicted_ms: self.evicted,
+            evicted_ms: self.evicted_before,
         })
     }
 
-    /// The successor holds the bound address, so whoever had it before is gone.
+    /// Retires the older incarnations at an address. The successor has bound the address,
+    /// so the earlier processes are gone.
     fn retire_older(&mut self, vm: &str, address: &str) {
-        let at = self.routers.at(vm, address);
+        let at = self.routers.at_address(vm, address);
         let active = at.filter(|(_, router)| router.is_active());
         let older: Vec<RouterId> = active.map(|(id, _)| id).collect();
         for id in older {
@@ -84,7 +86,7 @@
             return malformed();
         };
         let Some(id) = self.routers.find(&inc.vm, inc.epoch) else {
-            return self.gone(inc);
+            return self.missing_fate(inc);
         };
         let router = self.routers.get_mut(id);
         if !router.is_active() {
@@ -99,7 +101,7 @@
             return malformed();
         };
         let Some(id) = self.routers.find(&inc.vm, inc.epoch) else {
-            return self.gone(inc);
+            return self.missing_fate(inc);
         };
         match self.routers.get(id).phase {
             Phase::Active => return malformed(),
@@ -107,7 +109,7 @@
             Phase::Retired => {}
         }
         self.free_grants(id);
-        self.routers.tidy(id);
+        self.routers.forget_if_unused(id);
         self.evict();
         applied()
     }
@@ -122,9 +124,9 @@
         }
     }
 
-    /// Fate of a record about an incarnation that is not kept.
-    fn gone(&self, inc: &wire::Incarnation) -> FateKind {
-        if self.routers.is_former(&inc.vm, inc.epoch) {
+    /// Fate of a record about an incarnation that the stream doesn't hold (any more).
+    fn missing_fate(&self, inc: &wire::Incarnation) -> FateKind {
+        if self.routers.is_forgotten(&inc.vm, inc.epoch) {
             return duplicate();
         }
         unknown()
@@ -149,27 +151,27 @@
         applied()
     }
 
-    /// Forgets the keys that no incarnation can charge any more.
+    /// Evicts the keys that no incarnation can charge any more.
     fn evict(&mut self) {
         let floor = self.routers.lowest_floor().unwrap_or(0);
-        if floor <= self.evicted {
+        if floor <= self.evicted_before {
             return;
         }
-        self.evicted = floor;
+        self.evicted_before = floor;
         while let Some(state) = self.keys.pop_before(floor) {
             for id in state.routers() {
-                self.routers.get_mut(id).keys -= 1;
+                self.routers.get_mut(id).key_refs -= 1;
             }
             for id in state.routers() {
-                self.forget(id);
+                self.forget_router(id);
             }
         }
     }
 
-    fn forget(&mut self, id: RouterId) {
-        // A key may name an incarnation twice; the first time may have dropped it.
+    fn forget_router(&mut self, id: RouterId) {
+        // A key may refer to an incarnation twice; the first reference may have dropped it.
         if self.routers.contains(id) {
-            self.routers.tidy(id);
+            self.routers.forget_if_unused(id);
         }
     }
 }
@@ -184,6 +186,6 @@
         floor: join.floor_ms,
         grants: HashMap::new(),
         serials: Serials::default(),
-        keys: 0,
+        key_refs: 0,
     }
 }
--- a/crates/budget/src/router.rs
+++ b/crates/budget/src/router.rs
@@ -1,4 +1,4 @@
-//! One router incarnation: its phase, its grants, its charge serials.
+//! State of one router incarnation: phase, grants and charge serials.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,37 +8,38 @@
 
 use crate::serials::Serials;
 
-/// Phase of an incarnation; it only moves forward.
+/// Phase of an incarnation; it only advances.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Phase {
     /// May claim and charge.
     Active,
-    /// May not claim; its grants are in quarantine and charges still draw on them.
+    /// May not claim; its grants are quarantined, and charges are still deducted from them.
     Retired,
     /// Its grants are free again; charges are void.
     Released,
 }
 
-/// What one incarnation was granted of one budget (tokens, sums since it joined).
+/// Grants of one budget to one incarnation (tokens, sums since it joined).
 #[derive(Clone, PartialEq, Debug, Default)]
 pub(crate) struct Grant {
     pub(crate) granted: Tokens,
     pub(crate) returned: Tokens,
     pub(crate) charged: Tokens,
-    /// Number of the last claim; 0 before the first.
+    /// Sequence number of the last claim; 0 before the first.
     pub(crate) seq: u64,
     /// Answer to the last claim.
     pub(crate) answer: Option<wire::ClaimFate>,
 }
 
 impl Grant {
-    /// Rights unspent.
+    /// Tokens granted and neither charged nor returned.
     pub(crate) fn held(&self) -> Tokens {
         let left = self.granted.saturating_sub(self.charged);
         left.saturating_sub(self.returned)
     }
 }
 
+/// One router incarnation: a single start of a router process.
 #[derive(Clone, Debug)]
 pub(crate) struct Router {
     pub(crate) vm: Arc<str>,
@@ -46,13 +47,13 @@
     pub(crate) address: Arc<str>,
     pub(crate) domain: Arc<str>,
     pub(crate) phase: Phase,
-    /// Keys created before this are settled by the incarnation (ms since 1970).
+    /// The incarnation will charge no key created before this time (ms since 1970).
     pub(crate) floor: WallMs,
-    /// Grants by number of the budget.
+    /// Grants by budget id.
     pub(crate) grants: HashMap<u32, Grant>,
     pub(crate) serials: Serials,
-    /// Remembered keys that name this incarnation; while there are any, it is kept.
-    pub(crate) keys: u64,
+    /// Number of references from keys on record; the incarnation is kept while there are any.
+    pub(crate) key_refs: u64,
 }
 
 impl Router {
@@ -60,12 +61,12 @@
         self.phase == Phase::Active
     }
 
-    /// Whether its rights count as held: not free for others.
+    /// Whether its unspent grants count as held and aren't free for others.
     pub(crate) fn is_holder(&self) -> bool {
         self.phase != Phase::Released
     }
 
-    pub(crate) fn is_at(&self, address: &str) -> bool {
+    pub(crate) fn has_address(&self, address: &str) -> bool {
         &*self.address == address
     }
 
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Order that is the same on every process.
-    pub(crate) fn rank(&self) -> (&str, u64) {
+    /// Sort key that is the same in every process.
+    pub(crate) fn sort_key(&self) -> (&str, u64) {
         (&self.vm, self.epoch)
     }
 }
--- a/crates/budget/src/routers.rs
+++ b/crates/budget/src/routers.rs
@@ -1,4 +1,4 @@
-//! All router incarnations that the stream names.
+//! All router incarnations of the stream.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,21 +7,21 @@
 
 use crate::router::{Phase, Router};
 
-/// Most forgotten incarnations of which the identity is remembered. When there are
-/// more, the oldest epoch goes.
-pub const FORMER_MAX: usize = 4_096;
+/// Largest number of dropped incarnations whose identity is kept. Beyond that, the
+/// identity with the oldest epoch is evicted.
+pub const MAX_FORGOTTEN_ROUTERS: usize = 4_096;
 
-/// Number of an incarnation in this process.
+/// Process-local id of an incarnation.
 pub(crate) type RouterId = u32;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Routers {
     by_id: BTreeMap<RouterId, Router>,
-    /// Numbers by VM and epoch.
+    /// Ids by VM and epoch.
     by_vm: HashMap<Arc<str>, BTreeMap<u64, RouterId>>,
     next: RouterId,
-    /// Addresses of forgotten incarnations, by VM and epoch.
-    former: BTreeMap<(Arc<str>, u64), Arc<str>>,
+    /// Addresses of dropped incarnations, by VM and epoch.
+    forgotten: BTreeMap<(Arc<str>, u64), Arc<str>>,
 }
 
 impl Routers {
@@ -36,20 +36,20 @@
     pub(crate) fn get(&self, id: RouterId) -> &Router {
         self.by_id
             .get(&id)
-            .expect("an incarnation is kept while a key or grant names it")
+            .expect("an incarnation is kept while a key or grant refers to it")
     }
 
     pub(crate) fn get_mut(&mut self, id: RouterId) -> &mut Router {
         self.by_id
             .get_mut(&id)
-            .expect("an incarnation is kept while a key or grant names it")
+            .expect("an incarnation is kept while a key or grant refers to it")
     }
 
     pub(crate) fn add(&mut self, router: Router) -> RouterId {
         let id = self.next;
         self.next = id
             .checked_add(1)
-            .expect("fewer than 2^32 starts in one process's life");
+            .expect("fewer than 2^32 incarnations join during the life of a process");
         let epochs = self.by_vm.entry(Arc::clone(&router.vm)).or_default();
         epochs.insert(router.epoch, id);
         self.by_id.insert(id, router);
@@ -61,36 +61,43 @@
     }
 
     /// Incarnations of one VM and address, by epoch.
-    pub(crate) fn at(&self, vm: &str, address: &str) -> impl Iterator<Item = (RouterId, &Router)> {
+    pub(crate) fn at_address(
+        &self,
+        vm: &str,
+        address: &str,
+    ) -> impl Iterator<Item = (RouterId, &Router)> {
         let ids = self.by_vm.get(vm).into_iter().flat_map(BTreeMap::values);
         let known = ids.map(|id| (*id, self.get(*id)));
-        known.filter(move |(_, router)| router.is_at(address))
+        known.filter(move |(_, router)| router.has_address(address))
     }
 
     /// Largest epoch that joined at a VM and address.
     pub(crate) fn newest(&self, vm: &str, address: &str) -> Option<u64> {
-        let known = self.at(vm, address).map(|(_, router)| router.epoch).max();
+        let known = self
+            .at_address(vm, address)
+            .map(|(_, router)| router.epoch)
+            .max();
         let of_vm = (Arc::from(vm), 0)..=(Arc::from(vm), u64::MAX);
-        let former = self.former.range(of_vm).rev();
-        let mut here = former.filter(|(_, at)| &***at == address);
+        let forgotten = self.forgotten.range(of_vm).rev();
+        let mut here = forgotten.filter(|(_, at)| &***at == address);
         known.max(here.next().map(|((_, epoch), _)| *epoch))
     }
 
-    /// Whether this incarnation was released and forgotten.
-    pub(crate) fn is_former(&self, vm: &str, epoch: u64) -> bool {
-        self.former.contains_key(&(Arc::from(vm), epoch))
+    /// Whether this incarnation was released and dropped, with its identity on record.
+    pub(crate) fn is_forgotten(&self, vm: &str, epoch: u64) -> bool {
+        self.forgotten.contains_key(&(Arc::from(vm), epoch))
     }
 
-    /// VM, address and epoch of the forgotten incarnations.
-    pub(crate) fn former(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>, u64)> {
-        let former = self.former.iter();
-        former.map(|((vm, epoch), address)| (vm, address, *epoch))
+    /// VM, address and epoch of the dropped incarnations.
+    pub(crate) fn forgotten(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>, u64)> {
+        let forgotten = self.forgotten.iter();
+        forgotten.map(|((vm, epoch), address)| (vm, address, *epoch))
     }
 
-    /// Forgets a released incarnation that no key names, but for its identity.
-    pub(crate) fn tidy(&mut self, id: RouterId) {
+    /// Drops a released incarnation that no key refers to, except for its identity.
+    pub(crate) fn forget_if_unused(&mut self, id: RouterId) {
         let router = self.get(id);
-        if router.phase != Phase::Released || router.keys > 0 {
+        if router.phase != Phase::Released || router.key_refs > 0 {
             return;
         }
         let Some(router) = self.by_id.remove(&id) else {
@@ -102,21 +109,21 @@
                 self.by_vm.remove(&router.vm);
             }
         }
-        self.remember(router.vm, router.address, router.epoch);
+        self.remember_identity(router.vm, router.address, router.epoch);
     }
 
-    fn remember(&mut self, vm: Arc<str>, address: Arc<str>, epoch: u64) {
-        self.former.insert((vm, epoch), address);
-        if self.former.len() <= FORMER_MAX {
+    fn remember_identity(&mut self, vm: Arc<str>, address: Arc<str>, epoch: u64) {
+        self.forgotten.insert((vm, epoch), address);
+        if self.forgotten.len() <= MAX_FORGOTTEN_ROUTERS {
             return;
         }
-        let oldest = self.former.keys().min_by_key(|(vm, epoch)| (*epoch, vm));
+        let oldest = self.forgotten.keys().min_by_key(|(vm, epoch)| (*epoch, vm));
         if let Some(oldest) = oldest.cloned() {
-            self.former.remove(&oldest);
+            self.forgotten.remove(&oldest);
         }
     }
 
-    /// Lowest floor of the incarnations that may still charge.
+    /// Lowest key floor of the incarnations that may still charge.
     pub(crate) fn lowest_floor(&self) -> Option<WallMs> {
         let holders = self.by_id.values().filter(|router| router.is_holder());
         holders.map(|router| router.floor).min()
--- a/crates/budget/src/serials.rs
+++ b/crates/budget/src/serials.rs
@@ -1,25 +1,25 @@
-//! Which serial numbers of an incarnation's charges were decided.
+//! Deduplication of charges by serial number.
 
 use std::collections::BTreeSet;
 
-/// Most serials kept above the first gap. When there are more, the lowest gaps
-/// are given up: a charge that is late by so many others is taken as decided.
-pub const SERIALS_MAX: usize = 1 << 18;
+/// Largest number of serials kept above the first gap. Beyond that, the lowest gaps are
+/// closed: a charge that arrives later than this many others counts as a duplicate.
+pub const MAX_SERIALS: usize = 1 << 18;
 
 /// Lowest serial.
-const FIRST: u64 = 1;
+const FIRST_SERIAL: u64 = 1;
 
-/// Set of serials: all below a watermark, and single ones above it.
+/// Set of decided serials: all below the watermark, and individual ones above it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Serials {
-    from: u64,
+    watermark: u64,
     above: BTreeSet<u64>,
 }
 
 impl Default for Serials {
     fn default() -> Self {
         Self {
-            from: FIRST,
+            watermark: FIRST_SERIAL,
             above: BTreeSet::new(),
         }
     }
@@ -28,15 +28,15 @@
 impl Serials {
     pub(crate) fn restore(from: u64, above: &[u64]) -> Self {
         let mut serials = Self {
-            from: from.max(FIRST),
+            watermark: from.max(FIRST_SERIAL),
             above: above.iter().copied().collect(),
         };
-        serials.raise(serials.from);
+        serials.raise_watermark(serials.watermark);
         serials
     }
 
     pub(crate) fn watermark(&self) -> u64 {
-        self.from
+        self.watermark
     }
 
     pub(crate) fn above(&self) -> Vec<u64> {
@@ -44,39 +44,39 @@
     }
 
     pub(crate) fn contains(&self, serial: u64) -> bool {
-        serial < self.from || self.above.contains(&serial)
+        serial < self.watermark || self.above.contains(&serial)
     }
 
-    /// Adds a serial; `false` if it was there.
+    /// Adds a serial; returns `false` if the set has it already.
     pub(crate) fn insert(&mut self, serial: u64) -> bool {
-        if serial < self.from {
+        if serial < self.watermark {
             return false;
         }
-        if serial == self.from && self.above.is_empty() {
-            self.from = serial.saturating_add(1);
+        if serial == self.watermark && self.above.is_empty() {
+            self.watermark = serial.saturating_add(1);
             return true;
         }
         if !self.above.insert(serial) {
             return false;
         }
         self.advance();
-        if self.above.len() > SERIALS_MAX {
-            let lowest = self.above.first().copied().unwrap_or(self.from);
-            self.raise(lowest);
+        if self.above.len() > MAX_SERIALS {
+            let lowest = self.above.first().copied().unwrap_or(self.watermark);
+            self.raise_watermark(lowest);
         }
         true
     }
 
-    /// Lifts the watermark to `from`, and over what follows it without a gap.
-    fn raise(&mut self, from: u64) {
-        self.from = from;
+    /// Raises the watermark to `from`, and past the consecutive serials that follow.
+    fn raise_watermark(&mut self, from: u64) {
+        self.watermark = from;
         self.above = self.above.split_off(&from);
         self.advance();
     }
 
     fn advance(&mut self) {
-        while self.above.remove(&self.from) {
-            self.from = self.from.saturating_add(1);
+        while self.above.remove(&self.watermark) {
+            self.watermark = self.watermark.saturating_add(1);
         }
     }
 }
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -1,14 +1,14 @@
-//! Which stream of the log holds the records of a budget.
+//! Mapping of budgets to the streams of the log.
 
 use swiftlink_types::StreamName;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stream of the declared resources.
+/// Name of the stream of declared resources.
 pub const CONFIG_STREAM: &str = "config";
 
-/// Shard of a budget among `shards` (0 counts as 1).
+/// Shard that holds a budget, out of `shards` (0 counts as 1).
 ///
-/// Part of the log's format: it must not change while streams are in use.
+/// The mapping is part of the log's format: it must not change while streams are in use.
 #[must_use]
 pub fn shard_of(budget: &str, shards: u32) -> u32 {
     let hash = xxh3_64(budget.as_bytes());
--- a/crates/budget/src/snapshot.rs
+++ b/crates/budget/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot of the fold's state as bytes, equal for equal states.
+//! Snapshot encoding of the fold's state. Equal states have equal encodings.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
         budgets: budget_entries(fold),
         routers: router_entries(fold),
         keys: key_entries(fold),
-        evicted_ms: fold.evicted,
+        evicted_ms: fold.evicted_before,
     };
     state.encode_to_vec()
 }
@@ -52,8 +52,8 @@
             serials: router.serials.above(),
         });
     }
-    // A released entry that no key names stands for a forgotten incarnation.
-    for (vm, address, epoch) in fold.routers.former() {
+    // A released entry that no key refers to represents a dropped incarnation.
+    for (vm, address, epoch) in fold.routers.forgotten() {
         let vm = vm.to_string();
         entries.push(wire::RouterEntry {
             incarnation: Some(wire::Incarnation { vm, epoch }),
@@ -62,11 +62,11 @@
             ..Default::default()
         });
     }
-    entries.sort_unstable_by(|a, b| rank(a).cmp(&rank(b)));
+    entries.sort_unstable_by(|a, b| sort_key(a).cmp(&sort_key(b)));
     entries
 }
 
-fn rank(entry: &wire::RouterEntry) -> (Option<&str>, u64, &str) {
+fn sort_key(entry: &wire::RouterEntry) -> (Option<&str>, u64, &str) {
     let inc = entry.incarnation.as_ref();
     let vm = inc.map(|inc| inc.vm.as_str());
     (vm, inc.map_or(0, |inc| inc.epoch), &entry.address)
@@ -88,8 +88,8 @@
     entries
 }
 
-/// One entry per key for its owner, and one per incarnation that abandoned it,
-/// which has neither an intent nor a cost.
+/// One entry per key for its owner, and one per incarnation that abandoned the key.
+/// Entries of the latter kind have neither an intent nor a cost.
 fn key_entries(fold: &Fold) -> Vec<wire::KeyEntry> {
     let mut entries = Vec::new();
     for (key, workspace, state) in fold.keys.sorted() {
@@ -103,21 +103,21 @@
         if let Some(owner) = state.owner {
             entries.push(wire::KeyEntry {
                 cost: state.cost,
-                intent: state.intent,
+                intent: state.has_intent,
                 ..entry(owner)
             });
         }
         let mut abandoned = state.abandoned.clone();
-        abandoned.sort_unstable_by_key(|id| fold.routers.get(*id).rank());
+        abandoned.sort_unstable_by_key(|id| fold.routers.get(*id).sort_key());
         entries.extend(abandoned.into_iter().map(entry));
     }
     entries
 }
 
 pub(crate) fn decode(data: &[u8]) -> anyhow::Result<Fold> {
-    let state = wire::BudgetState::decode(data).context("budget snapshot")?;
+    let state = wire::BudgetState::decode(data).context("cannot decode the budget snapshot")?;
     let mut fold = Fold {
-        evicted: state.evicted_ms,
+        evicted_before: state.evicted_ms,
         ..Fold::default()
     };
     for entry in &state.budgets {
@@ -132,20 +132,20 @@
             .collect();
     }
     for entry in state.routers {
-        put_router(&mut fold, entry)?;
+        restore_router(&mut fold, entry)?;
     }
     for entry in &state.keys {
-        put_key(&mut fold, entry)?;
+        restore_key(&mut fold, entry)?;
     }
-    check_sums(&fold)?;
+    check_balances(&fold)?;
     let ids: Vec<RouterId> = fold.routers.iter().map(|(id, _)| id).collect();
     for id in ids {
-        fold.routers.tidy(id);
+        fold.routers.forget_if_unused(id);
     }
     Ok(fold)
 }
 
-fn put_router(fold: &mut Fold, entry: wire::RouterEntry) -> anyhow::Result<()> {
+fn restore_router(fold: &mut Fold, entry: wire::RouterEntry) -> anyhow::Result<()> {
     let phase = phase_from_wire(entry.phase())?;
     let inc = entry.incarnation.context("router without incarnation")?;
     ensure!(
@@ -161,7 +161,7 @@
         floor: entry.floor_ms,
         grants: HashMap::new(),
         serials: Serials::restore(entry.serials_from, &entry.serials),
-        keys: 0,
+        key_refs: 0,
     });
     for entry in entry.grants {
         let budget = fold.budgets.intern(&entry.budget);
@@ -174,33 +174,33 @@
         };
         let account = fold.budgets.get_mut(budget);
         let held = account.held.checked_add(grant.held());
-        account.held = held.context("budget holds too much")?;
+        account.held = held.context("the grants of a budget overflow")?;
         account.claimants.insert(id);
         fold.routers.get_mut(id).grants.insert(budget, grant);
     }
     Ok(())
 }
 
-fn put_key(fold: &mut Fold, entry: &wire::KeyEntry) -> anyhow::Result<()> {
-    let key = RequestKey::from_bytes(&entry.key).context("key")?;
+fn restore_key(fold: &mut Fold, entry: &wire::KeyEntry) -> anyhow::Result<()> {
+    let key = RequestKey::from_bytes(&entry.key).context("invalid request key")?;
     let id = fold
         .find_router(entry.owner.as_ref())
-        .context("key of an unknown router")?;
+        .context("request key of an unknown router")?;
     let state = fold.keys.entry(&entry.workspace, key);
     if entry.intent || entry.cost.is_some() {
-        ensure!(state.owner.is_none(), "key with two owners");
+        ensure!(state.owner.is_none(), "request key with two owners");
         state.owner = Some(id);
-        state.intent = entry.intent;
+        state.has_intent = entry.intent;
         state.cost = entry.cost;
     } else {
         state.abandoned.push(id);
     }
-    fold.routers.get_mut(id).keys += 1;
+    fold.routers.get_mut(id).key_refs += 1;
     Ok(())
 }
 
-/// Refuses a state in which more is used than was topped up.
-fn check_sums(fold: &Fold) -> anyhow::Result<()> {
+/// Fails if a budget has more tokens charged and held than were topped up.
+fn check_balances(fold: &Fold) -> anyhow::Result<()> {
     for id in fold.budgets.sorted() {
         let account = fold.budgets.get(id);
         let used = account.charged.checked_add(account.held);
--- a/crates/budget/src/view.rs
+++ b/crates/budget/src/view.rs
@@ -1,4 +1,4 @@
-//! What the fold tells of budgets and routers.
+//! Read-only views of budgets and routers.
 
 use std::sync::Arc;
 
@@ -9,42 +9,42 @@
 use crate::budgets::Account;
 use crate::router::{Phase, Router};
 
-/// A retired incarnation whose unspent rights are in quarantine.
+/// A retired incarnation whose unspent grants are quarantined.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct RetiredRouter {
-    /// Which start of which process.
+    /// VM and start time of the process.
     pub incarnation: Incarnation,
-    /// Where it listened.
+    /// Address that it listened on.
     pub address: Arc<str>,
-    /// Rights unspent over all budgets of the stream (tokens).
+    /// Unspent grants of all budgets of the stream (tokens).
     pub unspent: Tokens,
-    /// Rights unspent of each budget on which it has any, by name (tokens).
+    /// Unspent grants by budget, sorted by name, without budgets that have none (tokens).
     pub held: Vec<(Arc<str>, Tokens)>,
 }
 
 /// An incarnation that may claim and charge.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ActiveRouter {
-    /// Which start of which process.
+    /// VM and start time of the process.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: Arc<str>,
     /// Its failure domain.
     pub domain: DomainName,
 }
 
 impl Fold {
-    /// Totals of a budget; offset and age are for the caller to fill in.
+    /// Totals of a budget; the caller fills in offset and age.
     ///
-    /// `topped_up = charged + granted + quarantined + free`, where `granted` is what
-    /// active incarnations hold unspent and `quarantined` what retired ones do.
+    /// `topped_up = charged + granted + quarantined + free`, where `granted` is the unspent
+    /// grants of active incarnations and `quarantined` those of retired ones.
     #[must_use]
     pub fn view(&self, budget: &str) -> Option<BudgetView> {
         let id = self.budgets.find(budget)?;
         Some(self.view_of(id))
     }
 
-    /// Totals of every budget, by name.
+    /// Totals of all budgets, sorted by name.
     #[must_use]
     pub fn views(&self) -> Vec<BudgetView> {
         let ids = self.budgets.sorted();
@@ -79,7 +79,7 @@
         sum
     }
 
-    /// Retired incarnations that wait for their release, by VM and epoch.
+    /// Retired incarnations that aren't released yet, sorted by VM and epoch.
     #[must_use]
     pub fn retired(&self) -> Vec<RetiredRouter> {
         let routers = self.in_phase(Phase::Retired).into_iter();
@@ -103,15 +103,15 @@
         }
     }
 
-    /// Active incarnations, by VM and epoch.
+    /// Active incarnations, sorted by VM and epoch.
     #[must_use]
     pub fn active(&self) -> Vec<ActiveRouter> {
         let routers = self.in_phase(Phase::Active).into_iter();
         routers.map(active_router).collect()
     }
 
-    /// Largest epoch that joined on `vm` at `address`, in whatever phase it is now;
-    /// of those that were released and forgotten only the newest are remembered.
+    /// Largest epoch that joined on `vm` at `address`, whatever its current phase. Of the
+    /// incarnations that were released and dropped, only the newest are on record.
     #[must_use]
     pub fn newest_epoch(&self, vm: &str, address: &str) -> Option<u64> {
         self.routers.newest(vm, address)
@@ -120,21 +120,21 @@
     fn in_phase(&self, phase: Phase) -> Vec<&Router> {
         let all = self.routers.iter().map(|(_, router)| router);
         let mut routers: Vec<&Router> = all.filter(|router| router.phase == phase).collect();
-        routers.sort_unstable_by_key(|router| router.rank());
+        routers.sort_unstable_by_key(|router| router.sort_key());
         routers
     }
 
-    /// Whether the top-up `id` was counted.
+    /// Whether the top-up `id` of a budget was counted.
     #[must_use]
     pub fn has_top_up(&self, budget: &str, id: &str) -> bool {
         let budget = self.budgets.find(budget);
         budget.is_some_and(|budget| self.budgets.get(budget).top_ups.contains(id))
     }
 
-    /// Keys created before this are forgotten (ms since 1970).
+    /// Keys created before this time are evicted (ms since 1970).
     #[must_use]
     pub fn evicted_ms(&self) -> WallMs {
-        self.evicted
+        self.evicted_before
     }
 }
 
--- a/crates/budget/tests/checker.rs
+++ b/crates/budget/tests/checker.rs
@@ -1,5 +1,5 @@
-//! Shows that the checker of the properties can fail: it must catch folds that
-//! are broken on purpose.
+//! Guards against a property checker that can't fail: it must catch folds with
+//! injected faults.
 
 mod common;
 
@@ -12,35 +12,35 @@
 use swiftlink_wire::log as wire;
 use wire::record::Kind;
 
-/// What a broken fold does after each record.
+/// Fault that is injected after each record.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// Nothing; the control.
+    /// No fault, as the control.
     None,
-    /// Forgets the charged keys and folds the record again with new serials.
+    /// Drops the charged keys and applies the record again with new serials.
     Rebill,
-    /// Folds the record again with a new top-up identifier.
+    /// Applies the record again with a new top-up identifier.
     TopUpAgain,
-    /// Loses the intents, so that another router may win.
+    /// Drops the intents, so that another router may win.
     LoseIntents,
-    /// Brings a retired router back.
-    Revive,
-    /// Counts the charges but leaves the grants as they were.
-    KeepGrants,
+    /// Makes retired routers active again.
+    Reactivate,
+    /// Deducts charges from the grants but doesn't count them as charged.
+    DropCharges,
 }
 
-fn broken(fault: Fault, fold: &Fold, kind: &Kind) -> Fold {
+fn inject(fault: Fault, fold: &Fold, kind: &Kind) -> Fold {
     let mut state = state(fold);
     match fault {
         Fault::None | Fault::TopUpAgain => {}
         Fault::Rebill => state.keys.clear(),
         Fault::LoseIntents => state.keys.retain(|entry| entry.cost.is_some()),
-        Fault::Revive => {
+        Fault::Reactivate => {
             for router in &mut state.routers {
                 router.phase = wire::RouterPhase::Active.into();
             }
         }
-        Fault::KeepGrants => {
+        Fault::DropCharges => {
             for budget in &mut state.budgets {
                 budget.charged = 0;
             }
@@ -63,7 +63,7 @@
     fold
 }
 
-fn survives(fault: Fault) -> bool {
+fn passes_checker(fault: Fault) -> bool {
     let config = Config {
         failure_persistence: None,
         ..Config::with_cases(256)
@@ -74,7 +74,7 @@
         let mut checker = Checker::default();
         for kind in &history {
             let fate = apply(&mut fold, kind);
-            fold = broken(fault, &fold, kind);
+            fold = inject(fault, &fold, kind);
             checker
                 .observe(kind, &fate, &fold)
                 .map_err(TestCaseError::fail)?;
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn the_checker_passes_the_fold_and_catches_broken_ones() {
-    assert!(survives(Fault::None));
+fn checker_accepts_the_fold_and_catches_injected_faults() {
+    assert!(passes_checker(Fault::None));
     for fault in [
         Fault::Rebill,
         Fault::TopUpAgain,
         Fault::LoseIntents,
-        Fault::Revive,
-        Fault::KeepGrants,
+        Fault::Reactivate,
+        Fault::DropCharges,
     ] {
-        assert!(!survives(fault), "{fault:?} was not caught");
+        assert!(!passes_checker(fault), "{fault:?} was not caught");
     }
 }
--- a/crates/budget/tests/common/histories.rs
+++ b/crates/budget/tests/common/histories.rs
@@ -1,4 +1,4 @@
-//! Histories of records in a world so small that the records meet each other.
+//! Random histories of records over so few names and keys that the records interact.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -27,7 +27,7 @@
         .prop_map(|(key, budget, cost, serial)| item(key, budget, cost, serial))
 }
 
-/// Any record of a small world, so that records meet each other.
+/// Any record over a few VMs, budgets and keys, so that records interact.
 fn record() -> impl Strategy<Value = Kind> {
     let epoch = || 1..4_u64;
     prop_oneof![
@@ -46,13 +46,13 @@
     ]
 }
 
-/// Two workspaces that use the same keys, in either order of first use.
+/// A record of one of two workspaces that use the same keys, in either order of first use.
 fn record_of_any() -> impl Strategy<Value = Kind> {
     let workspace = prop_oneof![Just("w"), Just("a")];
     (record(), workspace).prop_map(|(kind, workspace)| of_workspace(workspace, kind))
 }
 
-/// A history in which there is something to claim and somebody to claim it.
+/// A history that starts with a top-up and two joined routers, so that claims can succeed.
 pub fn history() -> impl Strategy<Value = Vec<Kind>> {
     vec(record_of_any(), 1..60).prop_map(|records| {
         let mut all = vec![
--- a/crates/budget/tests/common/mod.rs
+++ b/crates/budget/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Builders of records, and a checker that knows the rules from the outside.
-#![allow(dead_code, reason = "each test binary uses a part")]
+//! Builders of records, and a checker that models the fold's rules independently.
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 pub mod histories;
 
@@ -12,17 +12,17 @@
 use wire::fate::Kind as FateKind;
 use wire::record::Kind;
 
-pub type Inc = (String, u64);
+pub type RouterIdentity = (String, u64);
 
-/// A key and its workspace.
-pub type Id = (Vec<u8>, String);
+/// A request key and its workspace.
+pub type KeyId = (Vec<u8>, String);
 
 pub fn inc(vm: &str, epoch: u64) -> Option<wire::Incarnation> {
     let vm = vm.to_owned();
     Some(wire::Incarnation { vm, epoch })
 }
 
-/// A UUIDv7 with this creation time and tail.
+/// A UUIDv7 with the given creation time and last byte.
 pub fn key(ms: u64, tail: u8) -> Vec<u8> {
     let mut bytes = [0; 16];
     bytes[..6].copy_from_slice(&ms.to_be_bytes()[2..]);
@@ -108,7 +108,7 @@
     })
 }
 
-/// The same record for another workspace than `w`.
+/// Changes the workspace of a record.
 pub fn of_workspace(workspace: &str, mut kind: Kind) -> Kind {
     let workspace = workspace.to_owned();
     match &mut kind {
@@ -159,28 +159,28 @@
     Fold::decode(&fold.encode()).expect("the state decodes")
 }
 
-/// Follows records and fates, and judges the fold's state after each.
+/// Tracks records and fates, and checks the fold's state after each record.
 #[derive(Default)]
 pub struct Checker {
     topped_up: BTreeMap<String, u64>,
     charged: BTreeMap<String, u64>,
-    /// Keys charged and not yet forgotten.
-    paid: BTreeSet<Id>,
-    winner: BTreeMap<Id, Inc>,
-    abandoned: BTreeSet<(Id, Inc)>,
-    phase: BTreeMap<Inc, i32>,
-    evicted: u64,
+    /// Keys charged and not yet evicted.
+    charged_keys: BTreeSet<KeyId>,
+    winner: BTreeMap<KeyId, RouterIdentity>,
+    abandoned: BTreeSet<(KeyId, RouterIdentity)>,
+    phase: BTreeMap<RouterIdentity, i32>,
+    evicted_before: u64,
 }
 
 macro_rules! check {
-    ($truth:expr, $($said:tt)+) => {
+    ($truth:expr, $($message:tt)+) => {
         if !$truth {
-            return Err(format!($($said)+));
+            return Err(format!($($message)+));
         }
     };
 }
 
-fn identity(inc: &Option<wire::Incarnation>) -> Inc {
+fn identity(inc: &Option<wire::Incarnation>) -> RouterIdentity {
     let inc = inc.clone().unwrap_or_default();
     (inc.vm, inc.epoch)
 }
@@ -204,9 +204,9 @@
                 let id = (intent.key.clone(), intent.workspace.clone());
                 let first = self.winner.entry(id.clone()).or_insert(owner.clone());
                 check!(*first == owner, "two winners of one key");
-                check!(!self.paid.contains(&id), "a charged key was won");
-                let gone = self.abandoned.contains(&(id, owner));
-                check!(!gone, "an abandoned intent won again");
+                check!(!self.charged_keys.contains(&id), "a charged key was won");
+                let is_abandoned = self.abandoned.contains(&(id, owner));
+                check!(!is_abandoned, "an intent won after its abandonment");
             }
             (Kind::Abandon(abandon), FateKind::Applied(_)) => {
                 let owner = identity(&abandon.incarnation);
@@ -226,7 +226,7 @@
             }
             _ => {}
         }
-        self.judge(fold)
+        self.check_state(fold)
     }
 
     fn observe_charges(
@@ -239,9 +239,10 @@
                 continue;
             }
             *self.charged.entry(item.budget.clone()).or_default() += item.cost;
-            if item.key >= key(self.evicted, 0) {
+            if item.key >= key(self.evicted_before, 0) {
                 check!(
-                    self.paid.insert((item.key.clone(), item.workspace.clone())),
+                    self.charged_keys
+                        .insert((item.key.clone(), item.workspace.clone())),
                     "a key was charged twice"
                 );
             }
@@ -249,29 +250,29 @@
         Ok(())
     }
 
-    /// Judges the state alone, against what was observed so far.
-    pub fn judge(&mut self, fold: &Fold) -> Result<(), String> {
+    /// Checks the fold's state against the records and fates observed so far.
+    pub fn check_state(&mut self, fold: &Fold) -> Result<(), String> {
         check!(
-            fold.evicted_ms() >= self.evicted,
-            "forgotten keys came back"
+            fold.evicted_ms() >= self.evicted_before,
+            "the eviction time went backwards"
         );
-        self.evicted = fold.evicted_ms();
-        let oldest = key(self.evicted, 0);
-        self.paid.retain(|(key, _)| *key >= oldest);
+        self.evicted_before = fold.evicted_ms();
+        let oldest = key(self.evicted_before, 0);
+        self.charged_keys.retain(|(key, _)| *key >= oldest);
         self.winner.retain(|(key, _), _| *key >= oldest);
         let state = state(fold);
         for budget in &state.budgets {
-            self.judge_budget(fold, &state, budget)?;
+            self.check_budget(fold, &state, budget)?;
         }
         for router in &state.routers {
             let now = self.phase.entry(identity(&router.incarnation)).or_default();
-            check!(router.phase >= *now, "a phase went back");
+            check!(router.phase >= *now, "a router's phase went backwards");
             *now = router.phase;
         }
         Ok(())
     }
 
-    fn judge_budget(
+    fn check_budget(
         &self,
         fold: &Fold,
         state: &wire::BudgetState,
@@ -286,7 +287,7 @@
         }
         let view = fold.view(name).ok_or("a budget has no view")?;
         let [_, active, retired, released] = sums;
-        check!(released == 0, "a released router holds rights");
+        check!(released == 0, "a released router holds tokens");
         check!(
             u128::from(view.granted) == active,
             "view of granted is wrong"
@@ -298,7 +299,7 @@
         let sum = u128::from(budget.charged) + active + retired + u128::from(view.free);
         check!(
             sum == u128::from(budget.topped_up),
-            "{name}: {sum} is not what was topped up"
+            "{name}: the sum {sum} differs from the top-ups"
         );
         check!(budget.charged <= budget.topped_up, "{name} is overspent");
         let paid_in = self.topped_up.get(name).copied().unwrap_or(0);
--- a/crates/budget/tests/properties.rs
+++ b/crates/budget/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over any history of records.
+//! Properties that hold for any history of records.
 
 mod common;
 
@@ -14,9 +14,9 @@
 use wire::fate::Kind as FateKind;
 use wire::record::Kind;
 
-/// Whether the decision on a record stands for good, so that a copy is void. A
-/// record that came too early (before its join, claim, retirement or the end of
-/// another's intent) may be taken later.
+/// Whether the decision on a record is final, so that a later copy changes nothing. A
+/// record that came too early (before its join, claim or retirement, or before another
+/// router abandoned the key) may be accepted later.
 fn is_final(kind: &Kind, fate: &FateKind) -> bool {
     match (kind, fate) {
         (Kind::Release(_) | Kind::GiveBack(_), FateKind::Rejected(_)) => false,
@@ -82,7 +82,7 @@
     }
 
     #[test]
-    fn any_bytes_are_folded_or_refused(data in vec(any::<u8>(), 0..200), history in history()) {
+    fn arbitrary_bytes_are_folded_or_rejected(data in vec(any::<u8>(), 0..200), history in history()) {
         let mut fold = Fold::empty();
         fold.apply(0, &data);
         let mut bytes = batch(&history);
--- a/crates/budget/tests/routers.rs
+++ b/crates/budget/tests/routers.rs
@@ -1,5 +1,6 @@
-//! Routers that keep to the protocol, over a log that reorders and repeats their
-//! records: every request is billed exactly once and every right comes back.
+//! Simulates routers that follow the protocol, over a log that reorders and repeats
+//! their records: every request is billed exactly once and all unspent tokens become
+//! free again.
 
 mod common;
 
@@ -19,7 +20,7 @@
 const VMS: [&str; 3] = ["v0", "v1", "v2"];
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Claim { at: usize, need: u64, want: u64 },
     Run { at: usize, cost: u64 },
     GiveBack { at: usize, amount: u64 },
@@ -30,18 +31,18 @@
     Reload,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     let at = || 0..VMS.len();
     prop_oneof![
         4 => (at(), 0..30_u64, 0..90_u64)
-            .prop_map(|(at, need, more)| Act::Claim { at, need, want: need + more }),
-        8 => (at(), 1..12_u64).prop_map(|(at, cost)| Act::Run { at, cost }),
-        2 => (at(), 1..40_u64).prop_map(|(at, amount)| Act::GiveBack { at, amount }),
-        2 => at().prop_map(|at| Act::Mark { at }),
-        1 => at().prop_map(|at| Act::Restart { at }),
-        9 => any::<Index>().prop_map(Act::Deliver),
-        3 => any::<Index>().prop_map(Act::Copy),
-        1 => Just(Act::Reload),
+            .prop_map(|(at, need, more)| Action::Claim { at, need, want: need + more }),
+        8 => (at(), 1..12_u64).prop_map(|(at, cost)| Action::Run { at, cost }),
+        2 => (at(), 1..40_u64).prop_map(|(at, amount)| Action::GiveBack { at, amount }),
+        2 => at().prop_map(|at| Action::Mark { at }),
+        1 => at().prop_map(|at| Action::Restart { at }),
+        9 => any::<Index>().prop_map(Action::Deliver),
+        3 => any::<Index>().prop_map(Action::Copy),
+        1 => Just(Action::Reload),
     ]
 }
 
@@ -57,16 +58,16 @@
 }
 
 impl Router {
-    fn left(&self) -> u64 {
+    fn unspent(&self) -> u64 {
         self.granted - self.spent - self.returned
     }
 }
 
-struct World {
+struct Simulation {
     fold: Fold,
     checker: Checker,
     routers: [Router; 3],
-    /// Records on their way to the log.
+    /// Records sent to the log and not delivered yet.
     sent: Vec<Kind>,
     delivered: Vec<Kind>,
     now: u64,
@@ -75,9 +76,9 @@
 
 type Outcome = Result<(), TestCaseError>;
 
-impl World {
+impl Simulation {
     fn start() -> Result<Self, TestCaseError> {
-        let mut world = Self {
+        let mut simulation = Self {
             fold: Fold::empty(),
             checker: Checker::default(),
             routers: Default::default(),
@@ -86,33 +87,33 @@
             now: 1,
             billed: 0,
         };
-        world.deliver(top_up("b", "t", TOPPED_UP))?;
+        simulation.deliver(top_up("b", "t", TOPPED_UP))?;
         for at in 0..VMS.len() {
-            world.restart(at)?;
+            simulation.restart(at)?;
         }
-        Ok(world)
+        Ok(simulation)
     }
 
-    fn act(&mut self, act: &Act) -> Outcome {
+    fn action(&mut self, action: &Action) -> Outcome {
         self.now += 1;
-        match act {
-            Act::Claim { at, need, want } => self.claim(*at, *need, *want),
-            Act::Run { at, cost } => self.run(*at, *cost),
-            Act::GiveBack { at, amount } => self.give_back(*at, *amount),
-            Act::Mark { at } => self.mark(*at),
-            Act::Restart { at } => self.restart(*at)?,
-            Act::Deliver(index) if !self.sent.is_empty() => {
+        match action {
+            Action::Claim { at, need, want } => self.claim(*at, *need, *want),
+            Action::Run { at, cost } => self.run(*at, *cost),
+            Action::GiveBack { at, amount } => self.give_back(*at, *amount),
+            Action::Mark { at } => self.mark(*at),
+            Action::Restart { at } => self.restart(*at)?,
+            Action::Deliver(index) if !self.sent.is_empty() => {
                 let kind = self.sent.swap_remove(index.index(self.sent.len()));
                 self.deliver(kind)?;
             }
-            Act::Copy(index) => {
+            Action::Copy(index) => {
                 let kind = self.delivered[index.index(self.delivered.len())].clone();
                 let before = self.fold.encode();
                 apply(&mut self.fold, &kind);
                 prop_assert!(self.fold.encode() == before, "a copy of {kind:?} counted");
             }
-            Act::Reload => self.fold = reload(&self.fold),
-            Act::Deliver(_) => {}
+            Action::Reload => self.fold = reload(&self.fold),
+            Action::Deliver(_) => {}
         }
         Ok(())
     }
@@ -130,7 +131,7 @@
 
     fn run(&mut self, at: usize, cost: u64) {
         let router = &mut self.routers[at];
-        if router.left() < cost {
+        if router.unspent() < cost {
             return;
         }
         router.spent += cost;
@@ -142,7 +143,7 @@
 
     fn give_back(&mut self, at: usize, amount: u64) {
         let router = &mut self.routers[at];
-        if router.left() < amount {
+        if router.unspent() < amount {
             return;
         }
         router.returned += amount;
@@ -150,7 +151,7 @@
             .push(give_back(VMS[at], router.epoch, "b", router.returned));
     }
 
-    /// Keys up to the oldest charge that is not on the log yet are settled.
+    /// Sends a mark at the oldest key whose charge isn't on the log yet.
     fn mark(&mut self, at: usize) {
         let epoch = self.routers[at].epoch;
         let unsettled = self.sent.iter().filter_map(|kind| match kind {
@@ -163,7 +164,7 @@
         self.sent.push(mark(VMS[at], epoch, floor));
     }
 
-    /// A successor at the same address; it answers for no key of the past.
+    /// Starts a successor at the same address, which charges no key created before.
     fn restart(&mut self, at: usize) -> Outcome {
         let epoch = self.routers[at].epoch + 1;
         self.routers[at] = Router {
@@ -174,7 +175,7 @@
         self.release_settled()
     }
 
-    /// Releases the retired routers of which no charge is on its way any more.
+    /// Releases the retired routers that have no undelivered charge.
     fn release_settled(&mut self) -> Outcome {
         for router in self.fold.retired() {
             let (vm, epoch) = (router.incarnation.vm.as_str(), router.incarnation.epoch);
@@ -197,7 +198,7 @@
             (Kind::Charges(_), FateKind::Charges(fate)) => {
                 prop_assert_eq!(fate.items().next(), Some(ChargeFate::Charged));
             }
-            (Kind::Claim(claim), fate) => self.answered(claim, fate),
+            (Kind::Claim(claim), fate) => self.receive_claim_fate(claim, fate),
             (Kind::GiveBack(_) | Kind::Mark(_), FateKind::Rejected(no)) => {
                 let gone = [
                     wire::RejectReason::Retired,
@@ -212,7 +213,7 @@
         Ok(())
     }
 
-    fn answered(&mut self, claim: &wire::Claim, fate: &FateKind) {
+    fn receive_claim_fate(&mut self, claim: &wire::Claim, fate: &FateKind) {
         let at = VMS
             .iter()
             .position(|vm| claim.incarnation == inc(vm, self.epoch_of(vm)));
@@ -231,7 +232,7 @@
         self.routers[at].epoch
     }
 
-    /// Lets everything arrive and every router go.
+    /// Delivers all records, then retires and releases all routers.
     fn finish(&mut self) -> Outcome {
         for kind in std::mem::take(&mut self.sent) {
             self.deliver(kind)?;
@@ -251,11 +252,11 @@
     #![proptest_config(Config::with_cases(512))]
 
     #[test]
-    fn every_run_is_billed_once_and_every_right_comes_back(acts in vec(act(), 1..150)) {
-        let mut world = World::start()?;
-        for act in &acts {
-            world.act(act)?;
+    fn every_request_is_billed_once_and_unspent_tokens_become_free(actions in vec(action(), 1..150)) {
+        let mut simulation = Simulation::start()?;
+        for action in &actions {
+            simulation.action(action)?;
         }
-        world.finish()?;
+        simulation.finish()?;
     }
 }
--- a/crates/budget/tests/rules.rs
+++ b/crates/budget/tests/rules.rs
@@ -1,9 +1,9 @@
-//! Each rule of the fold by example.
+//! Examples of each rule of the fold.
 
 mod common;
 
 use common::*;
-use swiftlink_budget::{FORMER_MAX, Fold, SERIALS_MAX, shard_of, stream_of};
+use swiftlink_budget::{Fold, MAX_FORGOTTEN_ROUTERS, MAX_SERIALS, shard_of, stream_of};
 use swiftlink_log::{Fold as _, Step};
 use swiftlink_wire::log as wire;
 use wire::ChargeFate::{self, Charged, Duplicate, Overdrawn, VoidKey, VoidReleased};
@@ -20,16 +20,16 @@
     FateKind::Applied(wire::Applied {})
 }
 
-fn copy() -> FateKind {
+fn duplicate() -> FateKind {
     FateKind::Duplicate(wire::Duplicate {})
 }
 
-fn expect(fold: &mut Fold, kind: Kind, fate: FateKind) {
+fn assert_fate(fold: &mut Fold, kind: Kind, fate: FateKind) {
     assert_eq!(apply(fold, &kind), fate, "{kind:?}");
 }
 
-/// A budget `b` of 1000 and routers 1 on VMs `v` and `u`.
-fn start() -> Fold {
+/// A budget `b` of 1000 tokens, and a router with epoch 1 on each of the VMs `v` and `u`.
+fn two_routers() -> Fold {
     let mut fold = Fold::empty();
     apply(&mut fold, &top_up("b", "t", 1_000));
     apply(&mut fold, &join("v", 1, "a", 0));
@@ -37,7 +37,7 @@
     fold
 }
 
-fn granted(fate: FateKind) -> wire::ClaimFate {
+fn claim_fate(fate: FateKind) -> wire::ClaimFate {
     match fate {
         FateKind::Claim(fate) => fate,
         other => panic!("no claim: {other:?}"),
@@ -52,14 +52,14 @@
     }
 }
 
-fn won(fold: &mut Fold, vm: &str, key: Vec<u8>) -> bool {
+fn wins_intent(fold: &mut Fold, vm: &str, key: Vec<u8>) -> bool {
     match apply(fold, &intent(vm, 1, key)) {
         FateKind::Intent(fate) => fate.won,
         other => panic!("no intent: {other:?}"),
     }
 }
 
-fn active(fate: FateKind) -> bool {
+fn joins_as_active(fate: FateKind) -> bool {
     match fate {
         FateKind::Join(fate) => fate.active,
         other => panic!("no join: {other:?}"),
@@ -68,73 +68,73 @@
 
 #[test]
 fn top_ups_count_once_and_never_overflow() {
-    let mut fold = start();
-    expect(&mut fold, top_up("b", "t", 1_000), copy());
-    expect(&mut fold, top_up("b", "x", u64::MAX), rejected(Malformed));
-    expect(&mut fold, top_up("b", "x", 5), applied());
+    let mut fold = two_routers();
+    assert_fate(&mut fold, top_up("b", "t", 1_000), duplicate());
+    assert_fate(&mut fold, top_up("b", "x", u64::MAX), rejected(Malformed));
+    assert_fate(&mut fold, top_up("b", "x", 5), applied());
     assert_eq!(fold.view("b").expect("known").topped_up, 1_005);
     assert!(fold.has_top_up("b", "x") && !fold.has_top_up("b", "y"));
 }
 
 #[test]
-fn claims_share_the_end_of_a_budget() {
-    let mut fold = start();
+fn claims_share_the_last_tokens_of_a_budget() {
+    let mut fold = two_routers();
     assert_eq!(
-        granted(apply(&mut fold, &claim("v", 1, "b", 1, 1, 800))).granted,
+        claim_fate(apply(&mut fold, &claim("v", 1, "b", 1, 1, 800))).granted,
         500
     );
-    let second = granted(apply(&mut fold, &claim("u", 1, "b", 1, 1, 800)));
+    let second = claim_fate(apply(&mut fold, &claim("u", 1, "b", 1, 1, 800)));
     assert_eq!((second.granted, second.free, second.sharers), (125, 375, 2));
     assert_eq!((second.elsewhere, second.holders[0].held), (500, 500));
-    // What is needed is granted beyond the fair share, but only in full.
+    // `need` is granted even beyond the fair share, but only in full.
     assert_eq!(
-        granted(apply(&mut fold, &claim("u", 1, "b", 2, 300, 800))).granted,
+        claim_fate(apply(&mut fold, &claim("u", 1, "b", 2, 300, 800))).granted,
         300
     );
     assert_eq!(
-        granted(apply(&mut fold, &claim("u", 1, "b", 3, 76, 800))).granted,
+        claim_fate(apply(&mut fold, &claim("u", 1, "b", 3, 76, 800))).granted,
         0
     );
 }
 
 #[test]
 fn a_copy_of_the_last_claim_gets_the_same_answer() {
-    let mut fold = start();
+    let mut fold = two_routers();
     let first = apply(&mut fold, &claim("v", 1, "b", 3, 1, 100));
     apply(&mut fold, &claim("u", 1, "b", 1, 1, 100));
-    expect(&mut fold, claim("v", 1, "b", 3, 1, 100), first);
+    assert_fate(&mut fold, claim("v", 1, "b", 3, 1, 100), first);
     let stale = apply(&mut fold, &claim("v", 1, "b", 2, 1, 100));
     assert_eq!(stale, rejected(RejectReason::StaleSeq));
     assert_eq!(fold.view("b").expect("known").granted, 200);
 }
 
 #[test]
-fn claims_out_of_form_or_place_are_rejected() {
-    let mut fold = start();
-    expect(&mut fold, claim("v", 1, "b", 1, 5, 4), rejected(Malformed));
-    expect(&mut fold, claim("v", 1, "b", 0, 1, 4), rejected(Malformed));
-    expect(
+fn malformed_claims_and_claims_of_inactive_routers_are_rejected() {
+    let mut fold = two_routers();
+    assert_fate(&mut fold, claim("v", 1, "b", 1, 5, 4), rejected(Malformed));
+    assert_fate(&mut fold, claim("v", 1, "b", 0, 1, 4), rejected(Malformed));
+    assert_fate(
         &mut fold,
         claim("v", 9, "b", 1, 1, 4),
         rejected(UnknownIncarnation),
     );
-    let never = granted(apply(&mut fold, &claim("v", 1, "other", 1, 1, 4)));
+    let never = claim_fate(apply(&mut fold, &claim("v", 1, "other", 1, 1, 4)));
     assert_eq!((never.granted, never.free), (0, 0));
     apply(&mut fold, &retire("v", 1));
-    expect(&mut fold, claim("v", 1, "b", 1, 1, 4), rejected(Retired));
+    assert_fate(&mut fold, claim("v", 1, "b", 1, 1, 4), rejected(Retired));
 }
 
 #[test]
-fn a_successor_retires_and_late_joins_revive_nothing() {
-    let mut fold = start();
-    assert!(active(apply(&mut fold, &join("v", 1, "a", 0))));
-    assert!(active(apply(&mut fold, &join("v", 3, "other", 0))));
-    assert!(active(apply(&mut fold, &join("v", 5, "a", 0))));
+fn a_successor_retires_its_predecessor_and_late_joins_have_no_effect() {
+    let mut fold = two_routers();
+    assert!(joins_as_active(apply(&mut fold, &join("v", 1, "a", 0))));
+    assert!(joins_as_active(apply(&mut fold, &join("v", 3, "other", 0))));
+    assert!(joins_as_active(apply(&mut fold, &join("v", 5, "a", 0))));
     assert_eq!(fold.retired()[0].incarnation.epoch, 1);
-    assert!(!active(apply(&mut fold, &join("v", 1, "a", 0))));
-    assert!(!active(apply(&mut fold, &join("v", 4, "a", 0))));
+    assert!(!joins_as_active(apply(&mut fold, &join("v", 1, "a", 0))));
+    assert!(!joins_as_active(apply(&mut fold, &join("v", 4, "a", 0))));
     apply(&mut fold, &release("v", 1));
-    expect(&mut fold, release("v", 1), copy());
+    assert_fate(&mut fold, release("v", 1), duplicate());
     apply(&mut fold, &retire("v", 5));
     apply(&mut fold, &release("v", 5));
     let FateKind::Join(fate) = apply(&mut fold, &join("v", 5, "a", 0)) else {
@@ -143,14 +143,14 @@
     assert_eq!((fate.active, fate.newest_epoch), (false, 5));
     for epoch in [1, 5] {
         let elsewhere = join("v", epoch, "elsewhere", 0);
-        assert!(!active(apply(&mut fold, &elsewhere)));
+        assert!(!joins_as_active(apply(&mut fold, &elsewhere)));
     }
     assert_eq!(fold.active().len(), 2);
 }
 
 #[test]
 fn charges_draw_once_per_serial_and_key() {
-    let mut fold = start();
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
     apply(&mut fold, &claim("u", 1, "b", 1, 1, 100));
     assert_eq!(charge(&mut fold, "v", 1, 60, 2), Charged);
@@ -165,7 +165,7 @@
 
 #[test]
 fn workspaces_do_not_share_keys() {
-    let mut fold = start();
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
     assert_eq!(charge(&mut fold, "v", 1, 10, 1), Charged);
     let other = charges("v", 1, vec![item(key(50, 1), "b", 10, 2)]);
@@ -175,10 +175,10 @@
 }
 
 #[test]
-fn quarantine_pays_charges_until_its_release() {
-    let mut fold = start();
+fn charges_draw_on_quarantined_grants_until_their_release() {
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
-    expect(&mut fold, release("v", 1), rejected(Malformed));
+    assert_fate(&mut fold, release("v", 1), rejected(Malformed));
     apply(&mut fold, &retire("v", 1));
     assert_eq!(charge(&mut fold, "v", 1, 30, 1), Charged);
     assert_eq!(fold.retired()[0].unspent, 70);
@@ -191,74 +191,74 @@
 }
 
 #[test]
-fn a_return_beyond_the_rights_frees_no_more_than_they_are() {
-    let mut fold = start();
+fn a_return_beyond_the_grant_frees_only_what_is_held() {
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
     charge(&mut fold, "v", 1, 30, 1);
-    expect(&mut fold, give_back("v", 1, "b", 90), applied());
+    assert_fate(&mut fold, give_back("v", 1, "b", 90), applied());
     assert_eq!(fold.view("b").expect("known").free, 970);
-    // Later grants are set off against the excess, so a copy frees nothing either.
+    // The excess is deducted from later grants, so a copy of the return frees nothing.
     apply(&mut fold, &claim("v", 1, "b", 2, 1, 100));
     assert_eq!(fold.view("b").expect("known").granted, 80);
-    expect(&mut fold, give_back("v", 1, "b", 90), copy());
-    expect(&mut fold, give_back("v", 1, "b", 80), copy());
+    assert_fate(&mut fold, give_back("v", 1, "b", 90), duplicate());
+    assert_fate(&mut fold, give_back("v", 1, "b", 80), duplicate());
 }
 
 #[test]
 fn an_intent_has_one_owner_until_it_is_abandoned() {
-    let mut fold = start();
+    let mut fold = two_routers();
     let k = key(50, 1);
-    assert!(won(&mut fold, "v", k.clone()) && won(&mut fold, "v", k.clone()));
-    assert!(!won(&mut fold, "u", k.clone()));
-    expect(&mut fold, abandon("v", 1, k.clone()), applied());
-    expect(&mut fold, abandon("v", 1, k.clone()), copy());
-    assert!(!won(&mut fold, "v", k.clone()));
-    assert!(won(&mut fold, "u", k.clone()));
+    assert!(wins_intent(&mut fold, "v", k.clone()) && wins_intent(&mut fold, "v", k.clone()));
+    assert!(!wins_intent(&mut fold, "u", k.clone()));
+    assert_fate(&mut fold, abandon("v", 1, k.clone()), applied());
+    assert_fate(&mut fold, abandon("v", 1, k.clone()), duplicate());
+    assert!(!wins_intent(&mut fold, "v", k.clone()));
+    assert!(wins_intent(&mut fold, "u", k.clone()));
     apply(&mut fold, &claim("u", 1, "b", 1, 1, 10));
     assert_eq!(charge(&mut fold, "u", 1, 5, 1), Charged);
-    assert!(!won(&mut fold, "u", k.clone()));
-    expect(&mut fold, abandon("u", 1, k), rejected(NotOwner));
+    assert!(!wins_intent(&mut fold, "u", k.clone()));
+    assert_fate(&mut fold, abandon("u", 1, k), rejected(NotOwner));
 }
 
 #[test]
-fn an_abandonment_overtakes_its_intent() {
-    let mut fold = start();
+fn an_intent_that_arrives_after_its_abandonment_loses() {
+    let mut fold = two_routers();
     let k = key(50, 1);
-    expect(&mut fold, abandon("v", 1, k.clone()), applied());
-    assert!(!won(&mut reload(&fold), "v", k.clone()));
-    assert!(won(&mut fold, "u", k));
+    assert_fate(&mut fold, abandon("v", 1, k.clone()), applied());
+    assert!(!wins_intent(&mut reload(&fold), "v", k.clone()));
+    assert!(wins_intent(&mut fold, "u", k));
 }
 
 #[test]
 fn retired_routers_win_nothing_new() {
-    let mut fold = start();
-    assert!(won(&mut fold, "v", key(50, 1)));
+    let mut fold = two_routers();
+    assert!(wins_intent(&mut fold, "v", key(50, 1)));
     apply(&mut fold, &retire("v", 1));
-    assert!(won(&mut fold, "v", key(50, 1)));
-    expect(&mut fold, intent("v", 1, key(50, 2)), rejected(Retired));
+    assert!(wins_intent(&mut fold, "v", key(50, 1)));
+    assert_fate(&mut fold, intent("v", 1, key(50, 2)), rejected(Retired));
 }
 
 #[test]
-fn keys_are_forgotten_below_every_floor() {
-    let mut fold = start();
+fn keys_below_every_floor_are_evicted() {
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
     assert_eq!(charge(&mut fold, "v", 1, 10, 1), Charged);
     apply(&mut fold, &mark("v", 1, 60));
     assert_eq!((fold.evicted_ms(), state(&fold).keys.len()), (0, 1));
     apply(&mut fold, &mark("u", 1, 55));
     assert_eq!((fold.evicted_ms(), state(&fold).keys.len()), (55, 0));
-    expect(&mut fold, intent("u", 1, key(54, 1)), rejected(KeyTooOld));
-    assert!(won(&mut fold, "u", key(55, 1)));
-    // An old key with a fresh serial is a run that was never counted.
+    assert_fate(&mut fold, intent("u", 1, key(54, 1)), rejected(KeyTooOld));
+    assert!(wins_intent(&mut fold, "u", key(55, 1)));
+    // A charge of an evicted key with a new serial was never counted before.
     assert_eq!(charge(&mut fold, "v", 2, 10, 2), Charged);
     apply(&mut fold, &join("t", 1, "a", 1));
     assert_eq!(fold.evicted_ms(), 55);
-    expect(&mut fold, mark("u", 1, 1 << 48), rejected(Malformed));
+    assert_fate(&mut fold, mark("u", 1, 1 << 48), rejected(Malformed));
 }
 
 #[test]
-fn quarantine_keeps_the_floor_of_its_router() {
-    let mut fold = start();
+fn a_quarantined_router_keeps_its_floor() {
+    let mut fold = two_routers();
     apply(&mut fold, &mark("u", 1, 60));
     apply(&mut fold, &retire("v", 1));
     apply(&mut fold, &mark("u", 1, 70));
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn equal_states_are_equal_bytes_whatever_led_to_them() {
+fn equal_states_have_equal_encodings() {
     let k = key(50, 1);
     let kinds = [
         top_up("c", "1", 5),
@@ -280,7 +280,7 @@
         abandon("v", 1, k.clone()),
         abandon("u", 1, k),
     ];
-    let (mut one, mut other) = (start(), start());
+    let (mut one, mut other) = (two_routers(), two_routers());
     kinds.iter().for_each(|kind| drop(apply(&mut one, kind)));
     kinds
         .chunks(2)
@@ -290,8 +290,8 @@
 }
 
 #[test]
-fn released_routers_are_forgotten_with_their_keys() {
-    let mut fold = start();
+fn released_routers_are_dropped_with_their_keys() {
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
     charge(&mut fold, "v", 1, 10, 1);
     apply(&mut fold, &retire("v", 1));
@@ -302,7 +302,7 @@
     assert_eq!((left.serials_from, left.grants.len()), (0, 0));
     assert_eq!(charge(&mut fold, "v", 1, 10, 1), VoidReleased);
     assert_eq!(reload(&fold).encode(), fold.encode());
-    for epoch in 2..FORMER_MAX as u64 + 10 {
+    for epoch in 2..MAX_FORGOTTEN_ROUTERS as u64 + 10 {
         let vm = format!("vm{epoch}");
         for kind in [
             join(&vm, epoch, "a", 0),
@@ -312,13 +312,13 @@
             apply(&mut fold, &kind);
         }
     }
-    assert_eq!(state(&fold).routers.len(), FORMER_MAX + 1);
+    assert_eq!(state(&fold).routers.len(), MAX_FORGOTTEN_ROUTERS + 1);
 }
 
 #[test]
 fn serials_above_a_gap_are_bounded() {
-    let mut fold = start();
-    let above = 2..SERIALS_MAX as u64 + 3;
+    let mut fold = two_routers();
+    let above = 2..MAX_SERIALS as u64 + 3;
     let items = above
         .map(|serial| item(key(50, 1), "b", 0, serial))
         .collect();
@@ -326,13 +326,13 @@
     let router = &state(&fold).routers[1];
     assert_eq!(
         (router.serials_from, router.serials.len()),
-        (SERIALS_MAX as u64 + 3, 0)
+        (MAX_SERIALS as u64 + 3, 0)
     );
 }
 
 #[test]
 fn malformed_records_change_nothing() {
-    let mut fold = start();
+    let mut fold = two_routers();
     apply(&mut fold, &claim("v", 1, "b", 1, 1, 100));
     let before = fold.encode();
     let good = item(key(50, 1), "b", 1, 1);
@@ -348,7 +348,7 @@
         abandon("v", 1, vec![]),
         join("", 1, "a", 0),
     ] {
-        expect(&mut fold, kind, rejected(Malformed));
+        assert_fate(&mut fold, kind, rejected(Malformed));
     }
     assert_eq!(fold.apply(9, &[0xff; 7]), Step::Malformed);
     assert!(Fold::decode(&[0xff; 7]).is_err());
@@ -357,7 +357,7 @@
 
 #[test]
 fn a_snapshot_chunk_stands_alone() {
-    let mut fold = start();
+    let mut fold = two_routers();
     let chunk = wire::SnapshotChunk {
         offset: 7,
         ..Default::default()
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_retired_router_tells_what_it_holds_of_each_budget() {
+fn a_retired_router_lists_its_unspent_tokens_by_budget() {
     let mut fold = Fold::empty();
     for budget in ["b", "a", "c", "d"] {
         apply(&mut fold, &top_up(budget, "t", 1_000));
@@ -411,11 +411,11 @@
     }
     let held = |fold: &Fold| -> Vec<String> {
         let retired = fold.retired().into_iter();
-        let told = retired.map(|router| {
+        let lines = retired.map(|router| {
             let vm = &router.incarnation.vm;
             format!("{vm} {} {:?}", router.unspent, router.held)
         });
-        told.collect()
+        lines.collect()
     };
     let expected = [r#"u 5 [("d", 5)]"#, r#"v 38 [("a", 20), ("b", 18)]"#];
     assert_eq!(held(&fold), expected);
