--- a/crates/ledger/src/appender.rs
+++ b/crates/ledger/src/appender.rs
@@ -1,4 +1,4 @@
-//! The append side of one budget stream: one append in flight, repeated until folded.
+//! Appends to one budget stream, with one append in flight, repeated until it is folded.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -15,16 +15,17 @@
 use tokio::sync::{Notify, oneshot};
 use tokio_util::sync::CancellationToken;
 
-use crate::batcher::{Batcher, Decided, Full, Ticket};
+use crate::batcher::{Batcher, EntryId, EntryOutcome, QueueFull};
 use crate::clock::{Clock, lock};
-use crate::contact::Contact;
-use crate::pacer::Pacer;
+use crate::log_health::LogHealth;
+use crate::rate_limiter::RateLimiter;
 use crate::stream::{Sink, Stream};
 use crate::void::fate_name;
 
-/// First ceiling of the back-off after a failed append.
+/// Initial upper bound of the backoff after a failed append.
 const RETRY_BASE: Duration = Duration::from_millis(20);
-/// Largest ceiling of that back-off: how late an append may notice that the log is back.
+/// Largest upper bound of that backoff, and so the longest time until an append notices
+/// that the log has recovered.
 const RETRY_CAP: Duration = Duration::from_secs(2);
 
 /// Identity of this process as a writer of batches.
@@ -32,11 +33,11 @@
 pub struct Writer {
     /// Name of the process.
     pub name: Arc<str>,
-    /// Start time in microseconds since 1970.
+    /// Start time of the process (µs since 1970).
     pub epoch: u64,
 }
 
-/// Records that wait for the log, and who waits for them.
+/// Records that wait for the log, and the callers that wait for their outcomes.
 pub struct Outbox {
     writer: Writer,
     metrics: Metrics,
@@ -47,35 +48,35 @@
 
 struct Inner {
     batcher: Batcher,
-    waiters: HashMap<Ticket, oneshot::Sender<Decided>>,
+    waiters: HashMap<EntryId, oneshot::Sender<EntryOutcome>>,
 }
 
-/// Waits for the fates of records that were queued. Dropping it takes them out of the
-/// queue again unless they were sent or hold charges.
+/// Waits for the fates of queued records. Dropping it removes the records from the
+/// queue unless they were sent or hold charges.
 #[derive(Debug)]
 pub struct Waiter {
-    ticket: Ticket,
-    decided: oneshot::Receiver<Decided>,
+    entry_id: EntryId,
+    outcome: oneshot::Receiver<EntryOutcome>,
     outbox: Arc<Outbox>,
 }
 
 impl Waiter {
-    /// Waits until the fold has decided the records. `None` when the process stops.
-    pub async fn wait(&mut self) -> Option<Decided> {
-        (&mut self.decided).await.ok()
+    /// Waits until the fold has decided the records. Returns `None` when the process stops.
+    pub async fn wait(&mut self) -> Option<EntryOutcome> {
+        (&mut self.outcome).await.ok()
     }
 }
 
 impl Drop for Waiter {
     fn drop(&mut self) {
         let mut inner = lock(&self.outbox.inner);
-        inner.waiters.remove(&self.ticket);
-        inner.batcher.cancel(self.ticket);
+        inner.waiters.remove(&self.entry_id);
+        inner.batcher.cancel(self.entry_id);
     }
 }
 
 impl Outbox {
-    /// An empty outbox with room for `limit` bytes of records.
+    /// Creates an empty outbox with a capacity of `limit` bytes of records.
     #[must_use]
     pub fn new(writer: Writer, limit: usize, metrics: Metrics) -> Arc<Self> {
         let batcher = Batcher::new(&writer.name, writer.epoch, limit);
@@ -95,59 +96,59 @@
     /// Queues records for the log.
     ///
     /// # Errors
-    /// [`Full`] when too much waits already; nothing was queued.
-    pub fn submit(self: &Arc<Self>, records: Vec<Record>) -> Result<Waiter, Full> {
-        let (sender, decided) = oneshot::channel();
-        let ticket = {
+    /// [`QueueFull`] when the outbox would exceed its capacity; nothing was queued.
+    pub fn submit(self: &Arc<Self>, records: Vec<Record>) -> Result<Waiter, QueueFull> {
+        let (sender, outcome) = oneshot::channel();
+        let entry_id = {
             let mut inner = lock(&self.inner);
-            let ticket = inner.batcher.add(records)?;
-            inner.waiters.insert(ticket, sender);
-            ticket
+            let entry_id = inner.batcher.add(records)?;
+            inner.waiters.insert(entry_id, sender);
+            entry_id
         };
         self.work.notify_one();
         Ok(Waiter {
-            ticket,
-            decided,
+            entry_id,
+            outcome,
             outbox: Arc::clone(self),
         })
     }
 
-    /// Queues records for whose fates nobody waits.
+    /// Queues records for the log without waiting for their fates.
     ///
     /// # Errors
-    /// [`Full`] when too much waits already; nothing was queued.
-    pub fn post(&self, records: Vec<Record>) -> Result<(), Full> {
+    /// [`QueueFull`] when the outbox would exceed its capacity; nothing was queued.
+    pub fn post(&self, records: Vec<Record>) -> Result<(), QueueFull> {
         lock(&self.inner).batcher.add(records)?;
         self.work.notify_one();
         Ok(())
     }
 
-    /// Charges of `incarnation` that the fold hasn't shown yet.
+    /// Number of charges of `incarnation` that aren't folded yet.
     #[must_use]
     pub fn pending(&self, incarnation: &Incarnation) -> u64 {
         lock(&self.inner).batcher.pending(incarnation)
     }
 
-    /// Charges of all incarnations that the fold hasn't shown yet.
+    /// Number of charges of all incarnations that aren't folded yet.
     #[must_use]
     pub fn pending_total(&self) -> u64 {
         lock(&self.inner).batcher.pending_total()
     }
 
-    /// Copies of those charges.
+    /// Copies of all charges that aren't folded yet.
     #[must_use]
     pub fn pending_charges(&self) -> Vec<Charges> {
         lock(&self.inner).batcher.pending_charges()
     }
 
-    /// Bytes of records that wait for the log or the fold.
+    /// Total size of the records that aren't folded yet (bytes).
     #[must_use]
     pub fn bytes(&self) -> usize {
         lock(&self.inner).batcher.bytes()
     }
 
-    /// Waits until nothing waits for the log or the fold any more.
-    pub async fn flushed(&self) {
+    /// Waits until all queued records are folded.
+    pub async fn wait_flushed(&self) {
         loop {
             let folded = self.folded.notified();
             if lock(&self.inner).batcher.is_empty() {
@@ -172,7 +173,7 @@
             let folded = self.folded.notified();
             tokio::pin!(folded);
             folded.as_mut().enable();
-            if !lock(&self.inner).batcher.is_open(seq) {
+            if !lock(&self.inner).batcher.is_unfolded(seq) {
                 return;
             }
             folded.await;
@@ -181,22 +182,22 @@
 }
 
 impl Sink<BatchFate> for Outbox {
-    fn decided(&self, fates: Vec<(u64, BatchFate)>, next: u64) {
+    fn on_decided(&self, fates: Vec<(u64, BatchFate)>, next: u64) {
         let mut inner = lock(&self.inner);
         for (offset, fate) in fates {
             if fate.writer != self.writer.name || fate.epoch != self.writer.epoch {
                 continue;
             }
-            for (ticket, decided) in inner.batcher.folded(fate.seq, offset, fate.fates) {
-                count_charges(&self.metrics, &decided);
-                let Some(waiter) = inner.waiters.remove(&ticket) else {
+            for (entry_id, outcome) in inner.batcher.on_folded(fate.seq, offset, fate.fates) {
+                count_charges(&self.metrics, &outcome);
+                let Some(waiter) = inner.waiters.remove(&entry_id) else {
                     continue;
                 };
-                // Who gave up waiting has dropped the other end.
-                let _result = waiter.send(decided);
+                // Fails if the waiter was dropped.
+                let _result = waiter.send(outcome);
             }
         }
-        inner.batcher.advanced(next);
+        inner.batcher.on_advanced(next);
         drop(inner);
         self.folded.notify_waiters();
         self.work.notify_one();
@@ -209,9 +210,9 @@
     }
 }
 
-/// Counts charges by what became of them, and logs those that are lost.
-fn count_charges(metrics: &Metrics, decided: &Decided) {
-    for void in &decided.void {
+/// Counts charges by fate, and logs void ones.
+fn count_charges(metrics: &Metrics, outcome: &EntryOutcome) {
+    for void in &outcome.void {
         metrics.count("ledger.void_tokens", void.cost);
         event!(
             warn,
@@ -224,7 +225,7 @@
             reason = fate_name(void.reason.into())
         );
     }
-    for fate in &decided.fates {
+    for fate in &outcome.fates {
         let Some(fate::Kind::Charges(charges)) = &fate.kind else {
             continue;
         };
@@ -235,31 +236,31 @@
     }
 }
 
-/// Counts of a stream's appends since the start.
+/// Numbers of appends to a stream since the process started.
 #[derive(Debug, Default)]
-pub struct Appends {
-    /// Appends sent, repeated ones included.
+pub struct AppendCounters {
+    /// Appends sent, including retries.
     pub sent: AtomicU64,
-    /// Appends that failed or gave no answer.
+    /// Appends that failed or got no answer.
     pub failed: AtomicU64,
 }
 
-/// The task that appends a stream's batches.
+/// Task that appends the batches of one stream.
 pub struct Appender {
-    /// Stream that is appended to.
+    /// Stream to append to.
     pub stream: Arc<Stream<Fold>>,
-    /// Where the batches come from.
+    /// Source of the batches.
     pub outbox: Arc<Outbox>,
     /// The log.
     pub log: Arc<dyn Log>,
-    /// When the log was last heard from.
-    pub contact: Arc<Contact>,
-    /// Pace of the whole process.
-    pub pacer: Arc<Pacer>,
-    /// Least time between two appends to the stream.
-    pub gap: Micros,
-    /// Counts.
-    pub appends: Arc<Appends>,
+    /// Reachability of the log.
+    pub log_health: Arc<LogHealth>,
+    /// Limit of appends per second, shared by all streams of the process.
+    pub rate_limiter: Arc<RateLimiter>,
+    /// Shortest time between two appends to the stream (µs).
+    pub min_interval: Micros,
+    /// Counters of the stream.
+    pub appends: Arc<AppendCounters>,
     /// Time source.
     pub clock: Clock,
     /// Metrics sender.
@@ -275,39 +276,39 @@
     async fn append_all(&self) {
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
         let mut earliest = 0;
-        let mut is_out = false;
+        let mut is_failing = false;
         loop {
             self.outbox.wait_for_work().await;
-            self.clock.until(earliest).await;
-            let slot = self.pacer.reserve(self.clock.now());
-            self.clock.until(slot).await;
-            let taken = lock(&self.outbox.inner).batcher.take(wall_ms());
+            self.clock.sleep_until(earliest).await;
+            let slot = self.rate_limiter.reserve(self.clock.now());
+            self.clock.sleep_until(slot).await;
+            let taken = lock(&self.outbox.inner).batcher.next_batch(wall_ms());
             let Some((seq, data)) = taken else {
                 continue;
             };
-            earliest = self.clock.now() + self.gap;
+            earliest = self.clock.now() + self.min_interval;
             if self.append(seq, data).await {
-                if is_out {
-                    // The back-off's pauses have saved up appends again, at every
-                    // ledger; the log is back for all of them at once.
-                    self.pacer.drain(self.clock.now());
+                if is_failing {
+                    // Every ledger has saved up a burst again during its backoff, and
+                    // the log recovers for all of them at once.
+                    self.rate_limiter.clear_burst(self.clock.now());
                 }
-                is_out = false;
+                is_failing = false;
                 backoff.reset();
                 continue;
             }
-            is_out = true;
-            self.pacer.drain(self.clock.now());
+            is_failing = true;
+            self.rate_limiter.clear_burst(self.clock.now());
             let pause = tokio::time::sleep(backoff.next(rand::random()));
             tokio::select! {
                 () = pause => {}
-                // Only the answer was lost, the log is there.
+                // The batch was folded: only the answer was lost, and the log is reachable.
                 () = self.outbox.wait_for_fold(seq) => backoff.reset(),
             }
         }
     }
 
-    /// Appends one batch; returns whether the log is known to have it.
+    /// Appends one batch. Returns whether the log is known to have it.
     async fn append(&self, seq: u64, data: Bytes) -> bool {
         self.appends.sent.fetch_add(1, Ordering::Relaxed);
         self.metrics.count("ledger.appends", 1);
@@ -315,18 +316,20 @@
         let append = self.log.append(self.stream.name(), data.clone());
         let answer = tokio::select! {
             answer = append => answer,
-            // The follower saw the batch first; its answer is of no more use.
+            // The follower read the batch first, so the answer isn't needed.
             () = self.outbox.wait_for_fold(seq) => return true,
         };
         match answer {
             Ok(offset) => {
-                self.contact.answered();
-                lock(&self.outbox.inner).batcher.answered(seq, Some(offset));
+                self.log_health.record_success();
+                lock(&self.outbox.inner)
+                    .batcher
+                    .on_append_result(seq, Some(offset));
                 let data = data.to_vec();
                 self.stream.offer(LogRecord { offset, data }, sent);
-                // The fold may have passed the offset before the answer came.
+                // The fold may have passed the offset before the answer arrived.
                 let applied = self.stream.state().applied();
-                lock(&self.outbox.inner).batcher.advanced(applied);
+                lock(&self.outbox.inner).batcher.on_advanced(applied);
                 true
             }
             Err(error) => {
@@ -339,7 +342,7 @@
                     seq = seq,
                     error = error
                 );
-                lock(&self.outbox.inner).batcher.answered(seq, None);
+                lock(&self.outbox.inner).batcher.on_append_result(seq, None);
                 false
             }
         }
--- a/crates/ledger/src/batcher.rs
+++ b/crates/ledger/src/batcher.rs
@@ -1,4 +1,5 @@
-//! Group commit of one stream, without I/O: what to append next and who waits for it.
+//! Group commit of one stream, free of I/O: collects records into batches and tracks them
+//! until they are folded.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -9,68 +10,68 @@
 
 use crate::void::{VoidCharge, void_charges};
 
-/// Most bytes of records in one batch, and so in one entry.
-pub const BATCH_BYTES: usize = 256 * 1024;
-/// Most records in one batch, and so in one entry.
-pub const BATCH_RECORDS: usize = 4_096;
+/// Largest total size of the records in one batch, and so in one entry (bytes).
+pub const MAX_BATCH_BYTES: usize = 256 * 1024;
+/// Largest number of records in one batch, and so in one entry.
+pub const MAX_BATCH_RECORDS: usize = 4_096;
 
-/// Number of an entry, to find who waits for it.
+/// Identifies an entry, and with it the caller that waits for its outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(u64);
+pub struct EntryId(u64);
 
-/// An entry was not taken because too much waits for the log.
+/// An entry was refused because too many bytes wait for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too much waits for the log")]
-pub struct Full;
+pub struct QueueFull;
 
-/// What became of an entry's records.
+/// Outcome of an entry's records.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Decided {
-    /// One fate per record, in order.
+pub struct EntryOutcome {
+    /// One fate per record, in the order of the records.
     pub fates: Vec<Fate>,
     /// Offset of the batch that was folded.
     pub offset: u64,
-    /// Charges among the records that count for nothing.
+    /// Charges among the records that are void.
     pub void: Vec<VoidCharge>,
 }
 
-/// Collects entries into batches, one append in flight at a time.
+/// Collects entries into batches, with one append in flight at a time.
 ///
-/// A batch is appended with the same bytes until the fold has shown it; the
-/// fold makes nothing of a second copy. Entries keep their order.
+/// A batch is appended with the same bytes until it is folded; the fold ignores a
+/// second copy. Entries keep their order.
 #[derive(Debug)]
 pub struct Batcher {
     writer: String,
     epoch: u64,
     limit: usize,
     bytes: usize,
-    last_ticket: u64,
+    last_id: u64,
     last_seq: u64,
     queue: VecDeque<Entry>,
-    open: BTreeMap<u64, Sent>,
-    flying: Option<u64>,
+    unfolded: BTreeMap<u64, UnfoldedBatch>,
+    in_flight: Option<u64>,
     charges: HashMap<Incarnation, u64>,
 }
 
 #[derive(Debug)]
 struct Entry {
-    ticket: Ticket,
+    id: EntryId,
     records: Vec<Record>,
     size: usize,
-    kept: bool,
+    has_charges: bool,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct UnfoldedBatch {
     data: Bytes,
     entries: Vec<Entry>,
-    /// Offset that the log answered; nothing while no append is known to be taken.
+    /// Offset that the log returned; `None` while no append is known to have succeeded.
     offset: Option<u64>,
 }
 
 impl Batcher {
-    /// Batches of `writer`, in its start `epoch`, with at most `limit` bytes of
-    /// records that wait for the log.
+    /// Creates a batcher for `writer`, started at `epoch`, that holds at most `limit` bytes
+    /// of records.
     #[must_use]
     pub fn new(writer: &str, epoch: u64, limit: usize) -> Self {
         Self {
@@ -78,51 +79,48 @@
             epoch,
             limit,
             bytes: 0,
-            last_ticket: 0,
+            last_id: 0,
             last_seq: 0,
             queue: VecDeque::new(),
-            open: BTreeMap::new(),
-            flying: None,
+            unfolded: BTreeMap::new(),
+            in_flight: None,
             charges: HashMap::new(),
         }
     }
 
-    /// Queues records that belong together.
+    /// Queues an entry of records that go into the same batch.
     ///
-    /// Charges are never dropped; other records are when nobody waits for them
-    /// any more and they were not sent yet, see [`Batcher::cancel`].
+    /// Entries with charges are never dropped; others can be dropped before they are
+    /// sent, see [`Batcher::cancel`].
     ///
     /// # Errors
-    /// [`Full`] when too much waits already.
-    pub fn add(&mut self, records: Vec<Record>) -> Result<Ticket, Full> {
+    /// [`QueueFull`] when the batcher would exceed its limit.
+    pub fn add(&mut self, records: Vec<Record>) -> Result<EntryId, QueueFull> {
         let size = records.iter().map(Message::encoded_len).sum::<usize>();
         if self.bytes + size > self.limit {
-            return Err(Full);
+            return Err(QueueFull);
         }
         self.bytes += size;
-        let kept = charges_of(&records).next().is_some();
+        let has_charges = charges_of(&records).next().is_some();
         self.count_charges(&records);
-        self.last_ticket += 1;
-        let ticket = Ticket(self.last_ticket);
+        self.last_id += 1;
+        let id = EntryId(self.last_id);
         self.queue.push_back(Entry {
-            ticket,
+            id,
             records,
             size,
-            kept,
+            has_charges,
         });
-        Ok(ticket)
+        Ok(id)
     }
 
-    /// Drops an entry that nobody waits for, unless it was sent or holds charges.
-    /// Returns whether it was dropped, and so certainly won't be appended.
-    pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let Ok(at) = self
-            .queue
-            .binary_search_by_key(&ticket, |entry| entry.ticket)
-        else {
+    /// Drops an entry unless it was sent or holds charges. Returns whether it was
+    /// dropped; if so, it certainly won't be appended.
+    pub fn cancel(&mut self, id: EntryId) -> bool {
+        let Ok(at) = self.queue.binary_search_by_key(&id, |entry| entry.id) else {
             return false;
         };
-        if self.queue[at].kept {
+        if self.queue[at].has_charges {
             return false;
         }
         if let Some(entry) = self.queue.remove(at) {
@@ -131,120 +129,130 @@
         true
     }
 
-    /// Whether [`Batcher::take`] would give a batch.
+    /// Whether [`Batcher::next_batch`] would return a batch.
     #[must_use]
     pub fn has_work(&self) -> bool {
-        self.flying.is_none() && (!self.queue.is_empty() || self.repeat().is_some())
+        self.in_flight.is_none() && (!self.queue.is_empty() || self.next_retry().is_some())
     }
 
-    /// The batch to append now, if any: first one that must be repeated, else a
-    /// new one. It is in flight until [`Batcher::answered`] or [`Batcher::folded`].
-    pub fn take(&mut self, stamp_ms: WallMs) -> Option<(u64, Bytes)> {
-        if self.flying.is_some() {
+    /// Returns the number and bytes of the batch to append now, if any: the first one to
+    /// retry, or else a new one. It is in flight until [`Batcher::on_append_result`] or
+    /// [`Batcher::on_folded`].
+    pub fn next_batch(&mut self, stamp_ms: WallMs) -> Option<(u64, Bytes)> {
+        if self.in_flight.is_some() {
             return None;
         }
-        let seq = match self.repeat() {
+        let seq = match self.next_retry() {
             Some(seq) => seq,
-            None => self.build(stamp_ms)?,
+            None => self.build_batch(stamp_ms)?,
         };
-        self.flying = Some(seq);
-        let sent = self.open.get(&seq)?;
-        Some((seq, sent.data.clone()))
+        self.in_flight = Some(seq);
+        let batch = self.unfolded.get(&seq)?;
+        Some((seq, batch.data.clone()))
     }
 
-    /// The append of batch `seq` ended: with an offset, or with an error after
-    /// which the same batch is appended again.
-    pub fn answered(&mut self, seq: u64, offset: Option<u64>) {
-        if self.flying == Some(seq) {
-            self.flying = None;
+    /// Records that the append of batch `seq` ended, with an offset or with an error
+    /// (`None`), after which the same batch is appended again.
+    pub fn on_append_result(&mut self, seq: u64, offset: Option<u64>) {
+        if self.in_flight == Some(seq) {
+            self.in_flight = None;
         }
-        if let Some(sent) = self.open.get_mut(&seq) {
-            sent.offset = offset;
+        if let Some(batch) = self.unfolded.get_mut(&seq) {
+            batch.offset = offset;
         }
     }
 
-    /// The fold showed batch `seq` at `offset`. Only the first sighting counts.
-    pub fn folded(&mut self, seq: u64, offset: u64, fates: Vec<Fate>) -> Vec<(Ticket, Decided)> {
-        if self.flying == Some(seq) {
-            self.flying = None;
+    /// Records that batch `seq` was folded at `offset`, and returns the outcomes of its
+    /// entries. Later copies of the batch return nothing.
+    pub fn on_folded(
+        &mut self,
+        seq: u64,
+        offset: u64,
+        fates: Vec<Fate>,
+    ) -> Vec<(EntryId, EntryOutcome)> {
+        if self.in_flight == Some(seq) {
+            self.in_flight = None;
         }
-        let Some(sent) = self.open.remove(&seq) else {
+        let Some(batch) = self.unfolded.remove(&seq) else {
             return Vec::new();
         };
         let mut fates = fates.into_iter();
-        let mut decided = Vec::new();
-        for entry in sent.entries {
+        let mut outcomes = Vec::new();
+        for entry in batch.entries {
             self.bytes -= entry.size;
             self.uncount_charges(&entry.records);
             let fates: Vec<Fate> = fates.by_ref().take(entry.records.len()).collect();
             let void = void_charges(&entry.records, &fates);
-            let outcome = Decided {
+            let outcome = EntryOutcome {
                 fates,
                 offset,
                 void,
             };
-            decided.push((entry.ticket, outcome));
+            outcomes.push((entry.id, outcome));
         }
-        decided
+        outcomes
     }
 
-    /// The fold is past all offsets below `next`. A batch that the log took there
-    /// and that the fold did not show was jumped over with a snapshot: it is
-    /// appended again, for its fates.
-    pub fn advanced(&mut self, next: u64) {
-        for sent in self.open.values_mut() {
-            if sent.offset.is_some_and(|offset| offset < next) {
-                sent.offset = None;
+    /// Records that the fold is past all offsets below `next`. A batch appended below
+    /// `next` that wasn't folded individually was skipped by loading a snapshot: it is
+    /// appended again to learn its fates.
+    pub fn on_advanced(&mut self, next: u64) {
+        for batch in self.unfolded.values_mut() {
+            if batch.offset.is_some_and(|offset| offset < next) {
+                batch.offset = None;
             }
         }
     }
 
-    /// Whether batch `seq` still waits for the fold.
+    /// Whether batch `seq` isn't folded yet.
     #[must_use]
-    pub fn is_open(&self, seq: u64) -> bool {
-        self.open.contains_key(&seq)
+    pub fn is_unfolded(&self, seq: u64) -> bool {
+        self.unfolded.contains_key(&seq)
     }
 
-    /// Charges of `incarnation` that the fold hasn't shown yet.
+    /// Number of charges of `incarnation` that aren't folded yet.
     #[must_use]
     pub fn pending(&self, incarnation: &Incarnation) -> u64 {
         self.charges.get(incarnation).copied().unwrap_or(0)
     }
 
-    /// Charges of all incarnations that the fold hasn't shown yet.
+    /// Number of charges of all incarnations that aren't folded yet.
     #[must_use]
     pub fn pending_total(&self) -> u64 {
         self.charges.values().sum()
     }
 
-    /// Copies of all charges that the fold hasn't shown yet.
+    /// Copies of all charges that aren't folded yet.
     #[must_use]
     pub fn pending_charges(&self) -> Vec<Charges> {
-        let sent = self.open.values().flat_map(|sent| &sent.entries);
+        let sent = self.unfolded.values().flat_map(|batch| &batch.entries);
         let entries = sent.chain(&self.queue);
         let charges = entries.flat_map(|entry| charges_of(&entry.records));
         charges.cloned().collect()
     }
 
-    /// Whether nothing waits for the log or the fold.
+    /// Whether all entries are folded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.queue.is_empty() && self.open.is_empty()
+        self.queue.is_empty() && self.unfolded.is_empty()
     }
 
-    /// Bytes of records that wait for the log or the fold.
+    /// Total size of the records that aren't folded yet (bytes).
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn repeat(&self) -> Option<u64> {
-        let mut waiting = self.open.iter().filter(|(_, sent)| sent.offset.is_none());
+    fn next_retry(&self) -> Option<u64> {
+        let mut waiting = self
+            .unfolded
+            .iter()
+            .filter(|(_, batch)| batch.offset.is_none());
         waiting.next().map(|(seq, _)| *seq)
     }
 
-    fn build(&mut self, stamp_ms: WallMs) -> Option<u64> {
-        let entries = self.fill();
+    fn build_batch(&mut self, stamp_ms: WallMs) -> Option<u64> {
+        let entries = self.collect_entries();
         if entries.is_empty() {
             return None;
         }
@@ -258,23 +266,23 @@
             records: records.cloned().collect(),
         };
         let data = Bytes::from(batch.encode_to_vec());
-        let sent = Sent {
+        let unfolded = UnfoldedBatch {
             data,
             entries,
             offset: None,
         };
-        self.open.insert(self.last_seq, sent);
+        self.unfolded.insert(self.last_seq, unfolded);
         Some(self.last_seq)
     }
 
-    fn fill(&mut self) -> Vec<Entry> {
+    fn collect_entries(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut size = 0;
         let mut count = 0;
         while let Some(entry) = self.queue.pop_front() {
             size += entry.size;
             count += entry.records.len();
-            let full = size > BATCH_BYTES || count > BATCH_RECORDS;
+            let full = size > MAX_BATCH_BYTES || count > MAX_BATCH_RECORDS;
             if full && !entries.is_empty() {
                 self.queue.push_front(entry);
                 break;
--- a/crates/ledger/src/clock.rs
+++ b/crates/ledger/src/clock.rs
@@ -1,28 +1,28 @@
-//! Monotonic time of the process, and small helpers of its tasks.
+//! Monotonic clock of the process, and helpers for durations and locks.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use swiftlink_types::{MICROS_PER_MS, Micros};
 
-/// Age that stands for "never known", in milliseconds (about 49 days).
+/// Age of data that was never up to date, in milliseconds (about 49 days).
 ///
-/// Large enough to count as stale everywhere, small enough to be added to.
-pub const NEVER_MS: u64 = u32::MAX as u64;
+/// Large enough to count as stale everywhere, small enough for additions not to overflow.
+pub const UNKNOWN_AGE_MS: u64 = u32::MAX as u64;
 
-/// What a clock reads at its start: more than any age that a peer may tell, so that
-/// the moment which such an age points back to stays apart from the start. With 0, a
-/// ledger that had just started took a peer's old knowledge for as young as itself.
-const START: Micros = 2 * NEVER_MS * MICROS_PER_MS;
+/// Reading of a clock at its start (µs): more than any age that a peer may report, so that
+/// subtracting such an age doesn't saturate at the origin. With an origin of 0, a ledger
+/// that had just started took a peer's stale data for as recent as its own start.
+const CLOCK_ORIGIN: Micros = 2 * UNKNOWN_AGE_MS * MICROS_PER_MS;
 
-/// Source of monotonic time; its start is an arbitrary number.
+/// Monotonic clock with an arbitrary origin.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Microseconds, with an arbitrary number at the start.
+    /// Current reading in microseconds since an arbitrary origin.
     #[must_use]
     pub fn now(&self) -> Micros {
-        START + micros(self.start.elapsed())
+        CLOCK_ORIGIN + micros(self.start.elapsed())
     }
 
     /// Sleeps until the clock reads `at`.
-    pub async fn until(&self, at: Micros) {
+    pub async fn sleep_until(&self, at: Micros) {
         let wait = at.saturating_sub(self.now());
         if wait > 0 {
             tokio::time::sleep(Duration::from_micros(wait)).await;
@@ -45,13 +45,14 @@
     }
 }
 
-/// A duration in whole microseconds.
+/// Converts a duration to whole microseconds.
 #[must_use]
 pub fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// Locks `mutex`; a holder that panicked has broken an invariant already.
+/// Locks `mutex`. Panics if it is poisoned: a holder that panicked may have left broken
+/// invariants.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of the lock panics")
 }
--- a/crates/ledger/src/daemon.rs
+++ b/crates/ledger/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The running ledger: opens its streams, spawns its tasks, joins them at the stop.
+//! Start-up and shutdown of the ledger: opens the streams, spawns the tasks and joins them.
 
 use std::fmt;
 use std::net::TcpListener;
@@ -15,33 +15,33 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use crate::appender::{Appender, Appends, Outbox, Writer};
+use crate::appender::{AppendCounters, Appender, Outbox, Writer};
 use crate::clock::Clock;
-use crate::contact::Contact;
 use crate::follower::Follower;
 use crate::gauges::Gauges;
 use crate::handover::hand_over;
-use crate::joins::Joins;
-use crate::pacer::Pacer;
+use crate::join_filter::JoinFilter;
+use crate::log_health::LogHealth;
 use crate::peers::{NAME_PREFIX, Peers};
 use crate::quarantine::Quarantine;
+use crate::rate_limiter::RateLimiter;
 use crate::reconcile::Reconciler;
 use crate::service::Service;
 use crate::settings::LedgerSettings;
 use crate::shards::{Shard, Shards};
-use crate::snapshots::{Snapshots, Wrap, budget_record, config_record};
+use crate::snapshots::{ChunkEncoder, SnapshotWriter, budget_record, config_record};
 use crate::status::Status;
 use crate::stream::{NoSink, Stream};
-use crate::vm_list::{Poller, Vms};
+use crate::vm_list::{Poller, SharedVmTracker};
 
-/// What the command line says of the daemon.
+/// Name, version and description on the command line.
 pub const ABOUT: About = About {
     name: "swiftlink-ledger",
     version: env!("CARGO_PKG_VERSION"),
     about: "Appends records to the platform's log in groups, folds the log and keeps charges.",
 };
 
-/// Runs the daemon until the shell says stop.
+/// Runs the daemon until the shell requests a stop.
 ///
 /// # Errors
 /// When an address can't be bound.
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// A ledger that serves links and follows the log.
+/// A running ledger, which serves links and follows the log.
 pub struct Ledger {
     core: Core,
     service: Arc<Service>,
@@ -70,23 +70,23 @@
     stop: CancellationToken,
 }
 
-/// What all tasks share.
+/// State that all tasks share.
 struct Core {
     name: Arc<str>,
     settings: LedgerSettings,
     clock: Clock,
     log: Arc<dyn Log>,
-    contact: Arc<Contact>,
+    log_health: Arc<LogHealth>,
     peers: Arc<Peers>,
-    vms: Arc<Vms>,
+    vms: Arc<SharedVmTracker>,
     config: Arc<Stream<swiftlink_resource::Fold>>,
     shards: Arc<Shards>,
     metrics: Metrics,
 }
 
 impl Ledger {
-    /// Starts a ledger on `log` that serves links on `listener`. Has to be called
-    /// inside a tokio runtime.
+    /// Starts a ledger on `log` that serves links on `listener`. Must be called inside a
+    /// tokio runtime.
     ///
     /// # Errors
     /// When the listener can't be used.
@@ -119,7 +119,7 @@
         })
     }
 
-    /// State on request.
+    /// State for the admin endpoint.
     #[must_use]
     pub fn dump(&self) -> Arc<dyn Dump> {
         Arc::new(self.core.status())
@@ -137,12 +137,12 @@
         &self.core.config
     }
 
-    /// Takes no new records, waits for those taken, hands over charges that the
-    /// log doesn't take in time, and joins all tasks.
+    /// Stops the ledger: accepts no new records, waits for the accepted ones, hands over
+    /// charges that don't reach the log in time, and joins all tasks.
     pub async fn stop(mut self) {
         self.service.close();
         let limit = Duration::from_millis(self.core.settings.stop_ms);
-        let flushed = tokio::time::timeout(limit / 2, self.core.flushed()).await;
+        let flushed = tokio::time::timeout(limit / 2, self.core.wait_flushed()).await;
         if flushed.is_err() {
             self.core.hand_over(limit / 2).await;
         }
@@ -179,8 +179,8 @@
         let secret = Secret::new(settings.common.secret.expose());
         Self {
             peers: Arc::new(Peers::open(&settings.peers, &name, &secret)),
-            vms: Vms::new(settings.vm_reads),
-            contact: Arc::new(Contact::new(clock)),
+            vms: SharedVmTracker::new(settings.vm_reads),
+            log_health: Arc::new(LogHealth::new(clock)),
             config: Arc::new(config),
             shards: Arc::new(Shards::new(list)),
             name,
@@ -201,8 +201,8 @@
             Arc::from(self.settings.common.domain.as_str()),
             Arc::clone(&self.config),
             Arc::clone(&self.shards),
-            Arc::clone(&self.contact),
-            Joins::new(self.metrics.clone()),
+            Arc::clone(&self.log_health),
+            JoinFilter::new(self.metrics.clone()),
         )
     }
 
@@ -214,13 +214,13 @@
             shards: Arc::clone(&self.shards),
             peers: Arc::clone(&self.peers),
             vms: Arc::clone(&self.vms),
-            contact: Arc::clone(&self.contact),
+            log_health: Arc::clone(&self.log_health),
         }
     }
 
     fn spawn(&self, tasks: &mut JoinSet<()>, stop: &CancellationToken) {
         let rate = (self.settings.append_rate, self.settings.append_burst);
-        let pacer = Arc::new(Pacer::new(rate.0, rate.1));
+        let rate_limiter = Arc::new(RateLimiter::new(rate.0, rate.1));
         tasks.spawn(self.follower(&self.config).run(stop.clone()));
         tasks.spawn(
             self.snapshots(&self.config, config_record)
@@ -232,7 +232,7 @@
                 self.snapshots(&shard.stream, budget_record)
                     .run(stop.clone()),
             );
-            tasks.spawn(self.appender(shard, &pacer).run(stop.clone()));
+            tasks.spawn(self.appender(shard, &rate_limiter).run(stop.clone()));
         }
         tasks.spawn(self.reconciler().run(stop.clone()));
         tasks.spawn(self.quarantine().run(stop.clone()));
@@ -247,33 +247,37 @@
         Follower {
             stream: Arc::clone(stream),
             log: Arc::clone(&self.log),
-            contact: Arc::clone(&self.contact),
+            log_health: Arc::clone(&self.log_health),
             peers: Arc::clone(&self.peers),
-            poll: Duration::from_millis(self.settings.poll_ms),
+            max_wait: Duration::from_millis(self.settings.poll_ms),
             clock: self.clock,
         }
     }
 
-    fn snapshots<F: Fold>(&self, stream: &Arc<Stream<F>>, wrap: Wrap) -> Snapshots<F> {
-        Snapshots {
+    fn snapshots<F: Fold>(
+        &self,
+        stream: &Arc<Stream<F>>,
+        encode_chunk: ChunkEncoder,
+    ) -> SnapshotWriter<F> {
+        SnapshotWriter {
             stream: Arc::clone(stream),
             log: Arc::clone(&self.log),
-            contact: Arc::clone(&self.contact),
+            log_health: Arc::clone(&self.log_health),
             clock: self.clock,
-            every: self.settings.snapshot_every,
-            period: self.settings.snapshot_secs * MICROS_PER_SEC,
-            wrap,
+            interval: self.settings.snapshot_every,
+            max_age: self.settings.snapshot_secs * MICROS_PER_SEC,
+            encode_chunk,
         }
     }
 
-    fn appender(&self, shard: &Shard, pacer: &Arc<Pacer>) -> Appender {
+    fn appender(&self, shard: &Shard, rate_limiter: &Arc<RateLimiter>) -> Appender {
         Appender {
             stream: Arc::clone(&shard.stream),
             outbox: Arc::clone(&shard.outbox),
             log: Arc::clone(&self.log),
-            contact: Arc::clone(&self.contact),
-            pacer: Arc::clone(pacer),
-            gap: self.settings.batch_ms * MICROS_PER_MS,
+            log_health: Arc::clone(&self.log_health),
+            rate_limiter: Arc::clone(rate_limiter),
+            min_interval: self.settings.batch_ms * MICROS_PER_MS,
             appends: Arc::clone(&shard.appends),
             clock: self.clock,
             metrics: self.metrics.clone(),
@@ -284,7 +288,7 @@
         Reconciler {
             config: Arc::clone(&self.config),
             shards: Arc::clone(&self.shards),
-            contact: Arc::clone(&self.contact),
+            log_health: Arc::clone(&self.log_health),
             clock: self.clock,
         }
     }
@@ -296,7 +300,7 @@
             shards: Arc::clone(&self.shards),
             peers: Arc::clone(&self.peers),
             vms: Arc::clone(&self.vms),
-            contact: Arc::clone(&self.contact),
+            log_health: Arc::clone(&self.log_health),
             clock: self.clock,
             metrics: self.metrics.clone(),
         }
@@ -306,14 +310,14 @@
         Gauges {
             config: Arc::clone(&self.config),
             shards: Arc::clone(&self.shards),
-            contact: Arc::clone(&self.contact),
+            log_health: Arc::clone(&self.log_health),
             metrics: self.metrics.clone(),
         }
     }
 
-    async fn flushed(&self) {
+    async fn wait_flushed(&self) {
         for shard in self.shards.iter() {
-            shard.outbox.flushed().await;
+            shard.outbox.wait_flushed().await;
         }
     }
 
@@ -335,7 +339,7 @@
 
 const MICROS_PER_SEC: Micros = 1_000 * MICROS_PER_MS;
 
-/// Name of the process in logs, at the platform and as a writer of batches.
+/// Name of the process in logs, towards the platform and as the writer of batches.
 fn process_name(settings: &LedgerSettings) -> Arc<str> {
     Arc::from(format!("{NAME_PREFIX}{}", settings.common.vm))
 }
@@ -353,6 +357,6 @@
     Shard {
         stream: Arc::new(stream),
         outbox,
-        appends: Arc::new(Appends::default()),
+        appends: Arc::new(AppendCounters::default()),
     }
 }
--- a/crates/ledger/src/follower.rs
+++ b/crates/ledger/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows one stream: from the log, or from peers while the log is out of reach.
+//! Follows one stream: from the log, or from peers while the log is unreachable.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,35 +12,35 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::clock::{Clock, micros};
-use crate::contact::Contact;
+use crate::log_health::LogHealth;
 use crate::peers::{Peer, Peers};
 use crate::stream::Stream;
 
-/// Most records in one read of the log.
-const READ_RECORDS: u32 = 1_000;
-/// First ceiling of the back-off between reads of a log that is out.
+/// Largest number of records in one read of the log.
+const MAX_READ_RECORDS: u32 = 1_000;
+/// Initial upper bound of the backoff between reads while the log is unreachable.
 const RETRY_BASE: Duration = Duration::from_millis(50);
-/// Largest ceiling of that back-off.
+/// Largest upper bound of that backoff.
 const RETRY_CAP: Duration = Duration::from_secs(2);
-/// A peer that sent nothing for so long is given up.
-const PEER_SILENCE: Duration = Duration::from_secs(3);
-/// A peer whose knowledge is older than this is left for the next one.
-const PEER_STALE_MS: u64 = 2_000;
-/// Pause between peers.
-const PEER_PAUSE: Duration = Duration::from_millis(200);
+/// Time after which a silent peer is abandoned.
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A peer whose data is older than this (ms) is abandoned for the next one.
+const MAX_PEER_AGE_MS: u64 = 2_000;
+/// Delay before the next peer is tried.
+const PEER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The task that follows a stream.
+/// Task that follows one stream.
 pub struct Follower<F: Fold> {
-    /// Stream that is followed.
+    /// Stream to follow.
     pub stream: Arc<Stream<F>>,
     /// The log.
     pub log: Arc<dyn Log>,
-    /// When the log was last heard from.
-    pub contact: Arc<Contact>,
-    /// Ledgers to follow while the log is out of reach.
+    /// Reachability of the log.
+    pub log_health: Arc<LogHealth>,
+    /// Ledgers to follow while the log is unreachable.
     pub peers: Arc<Peers>,
-    /// How long one read waits for a record.
-    pub poll: Duration,
+    /// Longest time that one read waits for a record (long poll).
+    pub max_wait: Duration,
     /// Time source.
     pub clock: Clock,
 }
@@ -54,7 +54,7 @@
     async fn follow(&self) {
         loop {
             let error = self.read_log().await;
-            self.contact.lost(&error);
+            self.log_health.record_failure(&error);
             tokio::select! {
                 () = self.probe_log() => {}
                 () = self.read_peers() => {}
@@ -65,13 +65,13 @@
     /// Reads the log until it fails.
     async fn read_log(&self) -> LogError {
         loop {
-            if let Err(error) = self.read(self.poll).await {
+            if let Err(error) = self.read(self.max_wait).await {
                 return error;
             }
         }
     }
 
-    /// Tries the log with back-off until it answers.
+    /// Retries the log with backoff until it answers.
     async fn probe_log(&self) {
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
         loop {
@@ -88,19 +88,19 @@
         let from = self.stream.next();
         let page = self
             .log
-            .read(self.stream.name(), from, READ_RECORDS, wait)
+            .read(self.stream.name(), from, MAX_READ_RECORDS, wait)
             .await;
         let page = match page {
             Ok(page) => page,
             Err(LogError::Trimmed { first }) if first > from => {
-                self.contact.answered();
-                return self.skip(from, first);
+                self.log_health.record_success();
+                return self.skip_trimmed(from, first);
             }
             Err(error) => return Err(error),
         };
-        self.contact.answered();
-        // The end is known as of the time when the log answered: not before it got the
-        // question, and after the whole wait when there was nothing to answer.
+        self.log_health.record_success();
+        // The log determined its end after the request was sent; if the page is empty, only
+        // after the whole wait. The earliest possible time counts.
         let waited = if page.records.is_empty() {
             micros(wait)
         } else {
@@ -113,8 +113,8 @@
         fed.map_err(|error| LogError::Protocol(error.to_string()))
     }
 
-    /// The log no longer has the records from `from` to `first`.
-    fn skip(&self, from: u64, first: u64) -> Result<(), LogError> {
+    /// Skips the records from `from` to `first`, which the log has trimmed.
+    fn skip_trimmed(&self, from: u64, first: u64) -> Result<(), LogError> {
         let name = self.stream.name();
         event!(
             warn,
@@ -127,19 +127,19 @@
         fed.map_err(|error| LogError::Protocol(error.to_string()))
     }
 
-    /// Follows peers in turn, for as long as the caller wants.
+    /// Follows the peers in turn; never returns.
     async fn read_peers(&self) {
         let mut turn = rand::random::<u32>() as usize;
         loop {
-            if let Some(peer) = self.peers.nth(turn) {
+            if let Some(peer) = self.peers.round_robin(turn) {
                 self.read_peer(peer).await;
             }
             turn = turn.wrapping_add(1);
-            tokio::time::sleep(PEER_PAUSE).await;
+            tokio::time::sleep(PEER_RETRY_DELAY).await;
         }
     }
 
-    /// Follows one peer until it fails, falls silent or knows nothing recent.
+    /// Follows one peer until it fails, falls silent or has only stale data.
     async fn read_peer(&self, peer: &Peer) {
         if !peer.client.is_up() {
             return;
@@ -171,7 +171,7 @@
                 );
                 return;
             }
-            if page.records.is_empty() && page.age_ms > PEER_STALE_MS {
+            if page.records.is_empty() && page.age_ms > MAX_PEER_AGE_MS {
                 return;
             }
         }
@@ -179,7 +179,7 @@
 }
 
 async fn next_page(pages: &mut ReplyStream) -> Option<Page> {
-    let reply = tokio::time::timeout(PEER_SILENCE, pages.next()).await;
+    let reply = tokio::time::timeout(PEER_TIMEOUT, pages.next()).await;
     match reply {
         Ok(Some(Ok(reply::Kind::Page(page)))) => Some(page),
         _ => None,
--- a/crates/ledger/src/gauges.rs
+++ b/crates/ledger/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges of the process, sent at a fixed pace.
+//! Gauges of the process, sent periodically.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use swiftlink_telemetry::Metrics;
 use tokio_util::sync::CancellationToken;
 
-use crate::contact::Contact;
+use crate::log_health::LogHealth;
 use crate::shards::Shards;
 use crate::stream::Stream;
 
-/// Pause between two rounds.
-const PERIOD: Duration = Duration::from_secs(5);
+/// Interval between two rounds.
+const SEND_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The task that sends the gauges.
+/// Task that sends the gauges.
 #[derive(Debug)]
 pub struct Gauges {
     /// The configuration stream.
     pub config: Arc<Stream<ConfigFold>>,
     /// The budget streams.
     pub shards: Arc<Shards>,
-    /// When the log was last heard from.
-    pub contact: Arc<Contact>,
+    /// Reachability of the log.
+    pub log_health: Arc<LogHealth>,
     /// Metrics sender.
     pub metrics: Metrics,
 }
@@ -34,7 +34,7 @@
         let sending = async {
             loop {
                 self.send();
-                tokio::time::sleep(PERIOD).await;
+                tokio::time::sleep(SEND_INTERVAL).await;
             }
         };
         let _stopped: Option<()> = stop.run_until_cancelled(sending).await;
@@ -42,7 +42,7 @@
 
     fn send(&self) {
         self.metrics
-            .gauge("ledger.log_age_ms", self.contact.age_ms());
+            .gauge("ledger.log_age_ms", self.log_health.age_ms());
         self.send_stream(&self.config);
         let mut pending = 0;
         let mut queued = 0;
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -1,4 +1,4 @@
-//! Hands charges that the log did not take to other ledgers when this one stops.
+//! On shutdown, hands charges that aren't on the log yet to other ledgers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 use crate::peers::{Peer, Peers};
 use crate::shards::Shards;
 
-/// How long a peer may take to store charges.
+/// Time limit for a peer to store charges.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most charges in one message.
-const MESSAGE_ITEMS: usize = 1_000;
+/// Largest number of charges in one message.
+const MAX_MESSAGE_CHARGES: usize = 1_000;
 
-/// Charges handed over and charges for which no peer was found.
+/// Numbers of charges that were and weren't report over.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Handed {
+pub struct HandoverReport {
     /// Stored by a peer.
     pub stored: u64,
-    /// Still only here.
+    /// Stored by no peer.
     pub left: u64,
 }
 
-/// Settles all pending charges at peers.
-pub async fn hand_over(shards: &Shards, peers: &Peers) -> Handed {
-    let mut handed = Handed::default();
+/// Stores all pending charges at peers.
+pub async fn hand_over(shards: &Shards, peers: &Peers) -> HandoverReport {
+    let mut report = HandoverReport::default();
     for shard in shards.iter() {
         let stream = shard.stream.name().to_string();
         for charges in merge(shard.outbox.pending_charges()) {
@@ -36,16 +36,16 @@
                 charges: Some(charges),
             };
             if store(&settle, peers).await {
-                handed.stored += count;
+                report.stored += count;
             } else {
-                handed.left += count;
+                report.left += count;
             }
         }
     }
-    handed
+    report
 }
 
-/// Charges of the same incarnation in as few messages as may be.
+/// Merges charges of the same incarnation into as few messages as possible.
 fn merge(list: Vec<Charges>) -> Vec<Charges> {
     let mut items: BTreeMap<Incarnation, Vec<Charge>> = BTreeMap::new();
     for charges in list {
@@ -57,7 +57,7 @@
     }
     let mut merged = Vec::new();
     for (incarnation, items) in items {
-        for part in items.chunks(MESSAGE_ITEMS) {
+        for part in items.chunks(MAX_MESSAGE_CHARGES) {
             merged.push(Charges {
                 incarnation: Some((&incarnation).into()),
                 items: part.to_vec(),
--- a/crates/ledger/src/joins.rs
+++ b/crates/ledger/src/join_filter.rs
@@ -10,40 +10,40 @@
 
 use crate::clock::lock;
 
-/// A router asked to join on a VM whose retirement stands.
+/// A router tried to join on a VM that is declared gone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Retired {
+pub struct VmRetired {
     /// Name of the VM.
     pub vm: String,
 }
 
-/// Judges joins by the configuration.
+/// Checks joins against the retired VMs of the configuration.
 ///
-/// A join that was let through would be retired again at once, and its router would
-/// join anew: a record on every stream, several times a second.
+/// A join that was let through would be retired at once, and its router would join
+/// again: a record on every stream, several times a second.
 #[derive(Debug)]
-pub struct Joins {
+pub struct JoinFilter {
     metrics: Metrics,
-    /// Version of the retirement by which a VM's refusal was logged.
-    told: Mutex<HashMap<String, u64>>,
+    /// Version of the retirement for which a VM's refusal was logged last, by VM.
+    logged: Mutex<HashMap<String, u64>>,
 }
 
-impl Joins {
-    /// Refusals are counted in `metrics`.
+impl JoinFilter {
+    /// Creates a filter that counts refusals in `metrics`.
     #[must_use]
     pub fn new(metrics: Metrics) -> Self {
         Self {
             metrics,
-            told: Mutex::default(),
+            logged: Mutex::default(),
         }
     }
 
-    /// Looks for a join that must be refused. The log tells of a VM's refusal once
-    /// for each version of its retirement; routers ask again and again.
+    /// Checks whether `records` hold a join that must be refused. A VM's refusal is logged
+    /// once per version of its retirement, since routers repeat their joins.
     ///
     /// # Errors
-    /// The first VM whose retirement stands.
-    pub fn check(&self, config: &Config, records: &[Record]) -> Result<(), Retired> {
+    /// [`VmRetired`] with the first VM that is declared gone.
+    pub fn check(&self, config: &Config, records: &[Record]) -> Result<(), VmRetired> {
         for record in records {
             let Some(vm) = joining_vm(record) else {
                 continue;
@@ -52,16 +52,16 @@
                 continue;
             };
             self.metrics.count("ledger.joins_refused", 1);
-            self.tell(config, vm, retirement.version);
-            return Err(Retired { vm: vm.to_owned() });
+            self.log_refusal(config, vm, retirement.version);
+            return Err(VmRetired { vm: vm.to_owned() });
         }
         Ok(())
     }
 
-    fn tell(&self, config: &Config, vm: &str, version: u64) {
-        let mut told = lock(&self.told);
-        told.retain(|vm, _| config.is_retired(vm));
-        if told.insert(vm.to_owned(), version) != Some(version) {
+    fn log_refusal(&self, config: &Config, vm: &str, version: u64) {
+        let mut logged = lock(&self.logged);
+        logged.retain(|vm, _| config.is_retired(vm));
+        if logged.insert(vm.to_owned(), version) != Some(version) {
             event!(
                 warn,
                 "join.refused",
@@ -80,7 +80,7 @@
     Some(&join.incarnation.as_ref()?.vm)
 }
 
-impl fmt::Display for Retired {
+impl fmt::Display for VmRetired {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let vm = &self.vm;
         write!(
@@ -90,4 +90,4 @@
     }
 }
 
-impl std::error::Error for Retired {}
+impl std::error::Error for VmRetired {}
--- a/crates/ledger/src/peers.rs
+++ b/crates/ledger/src/peers.rs
@@ -9,15 +9,15 @@
 use swiftlink_types::Incarnation;
 use swiftlink_wire::link::{GetPending, reply, request};
 
-/// What a ledger's process name has before the name of its VM.
+/// Prefix of a ledger's process name, in front of the name of its VM.
 pub const NAME_PREFIX: &str = "ledger-";
 
-/// How long a peer may take to answer.
+/// Time limit for a peer's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Another ledger.
 pub struct Peer {
-    /// Name of the peer, as in the settings.
+    /// Name of the peer, as written in the settings.
     pub name: Arc<str>,
     /// Address that it listens on.
     pub address: SocketAddr,
@@ -34,7 +34,7 @@
 }
 
 impl Peers {
-    /// Opens links to `peers` under the own `name`; they connect in the background.
+    /// Opens links to `peers` as process `name`; they connect in the background.
     #[must_use]
     pub fn open(peers: &[LinkPeer], name: &str, secret: &Secret) -> Self {
         let mut list = Vec::new();
@@ -49,14 +49,14 @@
         Self { list }
     }
 
-    /// The peers, in the settings' order.
+    /// The peers, in the order of the settings.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.list.iter()
     }
 
-    /// The peer whose turn `turn` is, going round; `None` without peers.
+    /// The peer for `turn`, in round-robin order; `None` without peers.
     #[must_use]
-    pub fn nth(&self, turn: usize) -> Option<&Peer> {
+    pub fn round_robin(&self, turn: usize) -> Option<&Peer> {
         let at = turn.checked_rem(self.list.len())?;
         self.list.get(at)
     }
@@ -70,22 +70,22 @@
 }
 
 impl Peer {
-    /// Name of the VM that the peer runs on. The settings name a ledger by its VM,
-    /// or by its process, which is the VM with [`NAME_PREFIX`].
+    /// Name of the VM that the peer runs on. The settings name a ledger by its VM or by
+    /// its process name, which is the VM's name prefixed with [`NAME_PREFIX`].
     #[must_use]
     pub fn vm(&self) -> &str {
         self.name.strip_prefix(NAME_PREFIX).unwrap_or(&self.name)
     }
 
-    /// Charges of `incarnation` that the peer holds and that it hasn't seen folded.
+    /// Number of charges of `incarnation` that the peer holds and hasn't folded yet.
     ///
     /// # Errors
-    /// When the peer gives no usable answer in time.
+    /// When the peer gives no valid answer in time.
     pub async fn pending(&self, incarnation: &Incarnation) -> Result<u64, LinkError> {
-        let ask = GetPending {
+        let request = GetPending {
             incarnation: Some(incarnation.into()),
         };
-        let kind = request::Kind::GetPending(ask);
+        let kind = request::Kind::GetPending(request);
         match self.client.call(kind, CALL_TIMEOUT).await? {
             reply::Kind::Pending(pending) => Ok(pending.count),
             _ => Err(LinkError::Lost),
--- a/crates/ledger/src/quarantine.rs
+++ b/crates/ledger/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Retires routers whose VM is gone, and frees the rights of those proved gone.
+//! Retires routers whose VM is gone, and releases the grants of routers that are proven
+//! to be gone.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,25 +14,26 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::clock::Clock;
-use crate::contact::Contact;
-use crate::duty::Duty;
+use crate::jitter::JitteredTasks;
+use crate::log_health::LogHealth;
 use crate::peers::{Peer, Peers};
 use crate::proof::proof_of;
-use crate::release::{Answer, Proof, Verdict, decide};
+use crate::release::{LedgerAnswer, Proof, Verdict, decide};
 use crate::shards::{Shard, Shards};
 use crate::stream::Stream;
-use crate::vm_list::Vms;
-
-/// Pause between looks at the folds.
-const TICK: Duration = Duration::from_millis(200);
-/// Largest wait before a retirement or release is appended.
-const SPREAD: Micros = 500_000;
-/// Wait before a release is looked at again, or a retirement appended again.
-const AGAIN: Micros = 2_000_000;
-/// Without an answer from the log for longer than this, others do the work.
-const CONTACT_MS: u64 = 3_000;
-
-/// The task that retires and releases.
+use crate::vm_list::SharedVmTracker;
+
+/// Interval between checks of the folds.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Largest random delay before a retirement or release is appended (µs).
+const MAX_JITTER: Micros = 500_000;
+/// Delay before a release is evaluated again, or a retirement appended again (µs).
+const RETRY_DELAY: Micros = 2_000_000;
+/// A ledger that got no answer from the log for longer than this (ms) leaves the task to
+/// the others.
+const MAX_LOG_AGE_MS: u64 = 3_000;
+
+/// Task that retires and releases router incarnations.
 #[derive(Debug)]
 pub struct Quarantine {
     /// Name of this ledger.
@@ -43,66 +45,66 @@
     /// The other ledgers.
     pub peers: Arc<Peers>,
     /// The VM list.
-    pub vms: Arc<Vms>,
-    /// When the log was last heard from.
-    pub contact: Arc<Contact>,
+    pub vms: Arc<SharedVmTracker>,
+    /// Reachability of the log.
+    pub log_health: Arc<LogHealth>,
     /// Time source.
     pub clock: Clock,
     /// Metrics sender.
     pub metrics: Metrics,
 }
 
-/// An incarnation as one budget stream knows it.
-type Case = (u32, Incarnation);
+/// Shard number and incarnation of a router on one budget stream.
+type RouterKey = (u32, Incarnation);
 
-/// What was logged of the cases that are open.
-type Told = HashSet<(Case, Verdict)>;
+/// Verdicts that were logged for the quarantined incarnations.
+type LoggedVerdicts = HashSet<(RouterKey, Verdict)>;
 
 impl Quarantine {
-    /// Works until `stop`.
+    /// Runs until `stop`.
     pub async fn run(self, stop: CancellationToken) {
         let _stopped = stop.run_until_cancelled(self.watch()).await;
     }
 
     async fn watch(&self) {
-        let mut retire = Duty::new(SPREAD, AGAIN);
-        let mut release = Duty::new(SPREAD, AGAIN);
-        let mut told = Told::new();
+        let mut retire = JitteredTasks::new(MAX_JITTER, RETRY_DELAY);
+        let mut release = JitteredTasks::new(MAX_JITTER, RETRY_DELAY);
+        let mut logged = LoggedVerdicts::new();
         loop {
-            tokio::time::sleep(TICK).await;
-            if self.contact.age_ms() > CONTACT_MS {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            if self.log_health.age_ms() > MAX_LOG_AGE_MS {
                 continue;
             }
-            for case in retire.step(self.clock.now(), self.gone(), rand::random) {
-                self.retire(&case);
+            for key in retire.take_due(self.clock.now(), self.active_on_gone_vms(), rand::random) {
+                self.retire(&key);
             }
             let quarantined = self.quarantined();
-            told.retain(|(case, _)| quarantined.contains(case));
-            for case in release.step(self.clock.now(), quarantined, rand::random) {
-                if let Some((proof, verdict)) = self.judge(&case).await {
-                    self.act(case, proof, verdict, &mut told);
+            logged.retain(|(key, _)| quarantined.contains(key));
+            for key in release.take_due(self.clock.now(), quarantined, rand::random) {
+                if let Some((proof, verdict)) = self.evaluate(&key).await {
+                    self.apply_verdict(key, proof, verdict, &mut logged);
                 }
             }
         }
     }
 
     /// Active incarnations whose VM left the VM list or is declared gone.
-    fn gone(&self) -> Vec<Case> {
-        let mut cases = Vec::new();
+    fn active_on_gone_vms(&self) -> Vec<RouterKey> {
+        let mut keys = Vec::new();
         let config = self.config().unwrap_or_default();
-        if !self.vms.any_gone() && config.retirements.is_empty() {
-            return cases;
+        if !self.vms.has_gone() && config.retirements.is_empty() {
+            return keys;
         }
         for (number, shard) in (0..).zip(self.shards.iter()) {
             let state = shard.stream.state();
             let active = state.current().map(Fold::active).unwrap_or_default();
             for router in active {
                 if self.is_gone(&config, router.incarnation.vm.as_str()) {
-                    cases.push((number, router.incarnation));
+                    keys.push((number, router.incarnation));
                 }
             }
         }
-        cases
+        keys
     }
 
     fn config(&self) -> Option<Arc<Config>> {
@@ -114,9 +116,9 @@
         config.is_retired(vm) || self.vms.is_gone(vm)
     }
 
-    fn retire(&self, (number, incarnation): &Case) {
-        let listed = self.vms.is_gone(incarnation.vm.as_str());
-        let reason = if listed {
+    fn retire(&self, (number, incarnation): &RouterKey) {
+        let left_list = self.vms.is_gone(incarnation.vm.as_str());
+        let reason = if left_list {
             "vm left the list"
         } else {
             "vm is declared gone"
@@ -132,49 +134,53 @@
         let kind = record::Kind::Retire(wire::Retire {
             incarnation: Some(incarnation.into()),
         });
-        self.post(*number, kind);
+        self.append_record(*number, kind);
     }
 
-    /// Incarnations whose rights are in quarantine.
-    fn quarantined(&self) -> Vec<Case> {
-        let mut cases = Vec::new();
+    /// Incarnations whose grants are quarantined.
+    fn quarantined(&self) -> Vec<RouterKey> {
+        let mut keys = Vec::new();
         for (number, shard) in (0..).zip(self.shards.iter()) {
             let state = shard.stream.state();
             let retired = state.current().map(Fold::retired).unwrap_or_default();
-            cases.extend(
+            keys.extend(
                 retired
                     .into_iter()
                     .map(|router| (number, router.incarnation)),
             );
         }
-        cases
+        keys
     }
 
-    /// Asks every ledger, unless the proof is missing anyway.
+    /// Evaluates a retired incarnation. Asks every ledger for its pending charges, unless
+    /// there is no proof anyway.
     ///
-    /// Asks twice: a ledger that stops hands its charges to another, which may have
-    /// been asked just before, and may be up again before it is asked itself. The
-    /// second round finds what was handed over during the first.
-    async fn judge(&self, case: &Case) -> Option<(Proof, Verdict)> {
-        let proof = self.proof(case)?;
+    /// Asks twice: a ledger that stops hands its charges to another one, which may have
+    /// been asked just before, and it may be up again before it is asked itself. The
+    /// second round finds charges that were handed over during the first.
+    async fn evaluate(&self, key: &RouterKey) -> Option<(Proof, Verdict)> {
+        let proof = self.proof(key)?;
         for _round in 0..2 {
             let answers = match proof {
                 Proof::None => Vec::new(),
-                Proof::Bound | Proof::Declared | Proof::Listed => self.ask_all(&case.1).await,
+                Proof::Successor | Proof::Declared | Proof::Delisted => self.ask_all(&key.1).await,
             };
             let verdict = decide(proof, &answers);
             if verdict != Verdict::Release {
                 return Some((proof, verdict));
             }
         }
-        // The statement may have been withdrawn while the ledgers were asked.
-        (self.proof(case)? == proof).then_some((proof, Verdict::Release))
+        // The VM's retirement may have been withdrawn while the ledgers were asked.
+        (self.proof(key)? == proof).then_some((proof, Verdict::Release))
     }
 
-    async fn ask_all(&self, incarnation: &Incarnation) -> Vec<Answer> {
-        let asks = self.peers.iter().map(|peer| self.ask(peer, incarnation));
-        let mut answers = join_all(asks).await;
-        answers.push(Answer {
+    async fn ask_all(&self, incarnation: &Incarnation) -> Vec<LedgerAnswer> {
+        let calls = self
+            .peers
+            .iter()
+            .map(|peer| self.ask_peer(peer, incarnation));
+        let mut answers = join_all(calls).await;
+        answers.push(LedgerAnswer {
             ledger: Arc::clone(&self.name),
             pending: Some(self.shards.pending(incarnation)),
             gone: false,
@@ -182,20 +188,20 @@
         answers
     }
 
-    async fn ask(&self, peer: &Peer, incarnation: &Incarnation) -> Answer {
+    async fn ask_peer(&self, peer: &Peer, incarnation: &Incarnation) -> LedgerAnswer {
         let pending = peer.pending(incarnation).await.ok();
         let config = self.config().unwrap_or_default();
-        Answer {
+        LedgerAnswer {
             ledger: Arc::clone(&peer.name),
             pending,
             gone: self.is_gone(&config, peer.vm()),
         }
     }
 
-    /// What proves that a retired incarnation is gone; `None` if it isn't retired.
-    fn proof(&self, (number, incarnation): &Case) -> Option<Proof> {
+    /// Proof that a retired incarnation is gone; `None` if it isn't retired.
+    fn proof(&self, (number, incarnation): &RouterKey) -> Option<Proof> {
         let config = self.config()?;
-        let absent = self.vms.is_absent(incarnation.vm.as_str());
+        let is_absent = self.vms.is_absent(incarnation.vm.as_str());
         let shard = self.shard(*number)?;
         let state = shard.stream.state();
         let fold = state.current()?;
@@ -203,13 +209,19 @@
         let router = retired
             .iter()
             .find(|router| router.incarnation == *incarnation)?;
-        Some(proof_of(router, fold, &config, absent))
+        Some(proof_of(router, fold, &config, is_absent))
     }
 
-    fn act(&self, case: Case, proof: Proof, verdict: Verdict, told: &mut Told) {
-        let (number, incarnation) = &case;
+    fn apply_verdict(
+        &self,
+        key: RouterKey,
+        proof: Proof,
+        verdict: Verdict,
+        logged: &mut LoggedVerdicts,
+    ) {
+        let (number, incarnation) = &key;
         if verdict != Verdict::Release {
-            if told.insert((case.clone(), verdict.clone())) {
+            if logged.insert((key.clone(), verdict.clone())) {
                 event!(
                     warn,
                     "router.quarantined",
@@ -231,10 +243,10 @@
         let kind = record::Kind::Release(wire::Release {
             incarnation: Some(incarnation.into()),
         });
-        self.post(*number, kind);
+        self.append_record(*number, kind);
     }
 
-    fn post(&self, number: u32, kind: record::Kind) {
+    fn append_record(&self, number: u32, kind: record::Kind) {
         let Some(shard) = self.shard(number) else {
             return;
         };
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,4 +1,4 @@
-//! Brings declared top-ups into the budget streams.
+//! Appends declared top-ups to the budget streams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,29 +10,30 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::clock::Clock;
-use crate::contact::Contact;
-use crate::duty::Duty;
+use crate::jitter::JitteredTasks;
+use crate::log_health::LogHealth;
 use crate::shards::Shards;
 use crate::stream::Stream;
 
-/// Pause between looks at the declared top-ups.
-const TICK: Duration = Duration::from_millis(100);
-/// Largest wait before a declared top-up is appended.
-const SPREAD: Micros = 300_000;
-/// Wait before it is appended again if it is still not folded.
-const AGAIN: Micros = 5_000_000;
-/// Without an answer from the log for longer than this, others do the work.
-const CONTACT_MS: u64 = 3_000;
+/// Interval between checks of the declared top-ups.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Largest random delay before a declared top-up is appended (µs).
+const MAX_JITTER: Micros = 300_000;
+/// Delay before a top-up is appended again if it is still not folded (µs).
+const RETRY_DELAY: Micros = 5_000_000;
+/// A ledger that got no answer from the log for longer than this (ms) leaves the task to
+/// the others.
+const MAX_LOG_AGE_MS: u64 = 3_000;
 
-/// The task that compares declared top-ups with the folded ones.
+/// Task that appends declared top-ups which aren't folded yet.
 #[derive(Debug)]
 pub struct Reconciler {
     /// The configuration stream.
     pub config: Arc<Stream<swiftlink_resource::Fold>>,
     /// The budget streams.
     pub shards: Arc<Shards>,
-    /// When the log was last heard from.
-    pub contact: Arc<Contact>,
+    /// Reachability of the log.
+    pub log_health: Arc<LogHealth>,
     /// Time source.
     pub clock: Clock,
 }
@@ -44,30 +45,30 @@
     }
 
     async fn reconcile(&self) {
-        let mut duty = Duty::new(SPREAD, AGAIN);
-        let mut seen = None;
+        let mut tasks = JitteredTasks::new(MAX_JITTER, RETRY_DELAY);
+        let mut last_positions = None;
         loop {
-            tokio::time::sleep(TICK).await;
-            if self.contact.age_ms() > CONTACT_MS {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            if self.log_health.age_ms() > MAX_LOG_AGE_MS {
                 continue;
             }
-            let marks = self.marks();
-            if duty.is_empty() && seen.as_ref() == Some(&marks) {
+            let positions = self.positions();
+            if tasks.is_empty() && last_positions.as_ref() == Some(&positions) {
                 continue;
             }
             let open = self.missing();
-            for top_up in duty.step(self.clock.now(), open, rand::random) {
+            for top_up in tasks.take_due(self.clock.now(), open, rand::random) {
                 self.submit(top_up);
             }
-            seen = Some(marks);
+            last_positions = Some(positions);
         }
     }
 
-    /// Where all streams stand: nothing new is missing while that doesn't change.
-    fn marks(&self) -> Vec<(u64, bool)> {
-        let mut marks = vec![self.config.progress()];
-        marks.extend(self.shards.iter().map(|shard| shard.stream.progress()));
-        marks
+    /// Positions of all streams. While they don't change, no further top-up can be missing.
+    fn positions(&self) -> Vec<(u64, bool)> {
+        let mut positions = vec![self.config.progress()];
+        positions.extend(self.shards.iter().map(|shard| shard.stream.progress()));
+        positions
             .iter()
             .map(|progress| (progress.next, progress.ready))
             .collect()
@@ -79,7 +80,7 @@
         };
         let mut missing = Vec::new();
         for (name, top_up) in &config.topups {
-            let Some(shard) = self.shards.of_budget(top_up.budget.as_str()) else {
+            let Some(shard) = self.shards.for_budget(top_up.budget.as_str()) else {
                 continue;
             };
             let state = shard.stream.state();
@@ -104,7 +105,7 @@
     }
 
     fn submit(&self, top_up: DeclaredTopUp) {
-        let Some(shard) = self.shards.of_budget(&top_up.budget) else {
+        let Some(shard) = self.shards.for_budget(&top_up.budget) else {
             return;
         };
         event!(
--- a/crates/ledger/src/release.rs
+++ b/crates/ledger/src/release.rs
@@ -1,60 +1,62 @@
-//! When the rights of a retired router may be freed. Decides without I/O.
+//! Decides when the grants of a retired router may be released. Free of I/O.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// How certain it is that a retired incarnation runs no work any more.
+/// Proof that a retired incarnation executes no more requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proof {
-    /// A successor bound the same address on the same VM, which it could not while
-    /// the predecessor lived.
-    Bound,
-    /// An operator states that its VM is gone for good.
+    /// A successor bound the same address on the same VM, which is impossible while the
+    /// predecessor is running.
+    Successor,
+    /// An operator declared that its VM is gone for good.
     Declared,
-    /// Its VM left the VM list, and all budgets on which it holds rights take that
-    /// for proof (`release = "listed"`), or it holds none.
-    Listed,
-    /// It was retired, but may still be running.
+    /// Its VM left the VM list, and all budgets of which it holds tokens accept that as
+    /// proof (`release = "listed"`), or it holds none.
+    Delisted,
+    /// No proof: it was retired, but may still be running.
     None,
 }
 
-/// Charges of the incarnation that a ledger holds, as far as is known.
+/// Answer of one ledger to the question for pending charges of an incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
-    /// The ledger.
+pub struct LedgerAnswer {
+    /// Name of the ledger.
     pub ledger: Arc<str>,
-    /// Charges that it holds and hasn't seen folded; nothing when it can't be reached.
+    /// Number of charges that it holds and that aren't folded yet; `None` when it can't be
+    /// reached.
     pub pending: Option<u64>,
-    /// Whether its VM left the VM list or is declared gone, so that what it held is lost.
+    /// Whether the ledger's VM left the VM list or is declared gone, so that charges it held
+    /// are lost.
     pub gone: bool,
 }
 
-/// What to do with the rights of a retired incarnation.
+/// Decision on the grants of a retired incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Free them.
+    /// Release them.
     Release,
-    /// Keep them until an operator acts: it isn't proved that the router is gone.
+    /// Keep them until an operator acts: there is no proof that the router is gone.
     Unproved,
-    /// Keep them for now: a ledger holds charges that draw on them.
+    /// Keep them for now: a ledger holds charges to be deducted from them.
     Pending {
-        /// The ledger.
+        /// Name of the ledger.
         ledger: Arc<str>,
     },
     /// Keep them for now: a ledger that may hold charges can't be reached.
     Unreachable {
-        /// The ledger.
+        /// Name of the ledger.
         ledger: Arc<str>,
     },
 }
 
-/// Decides on the rights of an incarnation that the fold shows as retired.
+/// Decides on the grants of an incarnation that is retired in the fold.
 ///
-/// All `answers` must have been asked for after the fold showed that. The charge of
-/// an answer that a caller has seen whole is held by a ledger or folded, so with no
-/// charge pending anywhere the release makes no such charge void.
+/// All `answers` must have been requested after the fold retired it. The charge for a
+/// response that was delivered to a caller in full is held by a ledger or folded, so
+/// with no charge pending anywhere the release voids no such charge.
 #[must_use]
-pub fn decide(proof: Proof, answers: &[Answer]) -> Verdict {
+pub fn decide(proof: Proof, answers: &[LedgerAnswer]) -> Verdict {
     if proof == Proof::None {
         return Verdict::Unproved;
     }
@@ -73,9 +75,9 @@
 impl fmt::Display for Proof {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Bound => "successor bound its address",
+            Self::Successor => "successor bound its address",
             Self::Declared => "vm is declared gone",
-            Self::Listed => "vm left the list",
+            Self::Delisted => "vm left the list",
             Self::None => "none",
         })
     }
--- a/crates/ledger/src/service.rs
+++ b/crates/ledger/src/service.rs
@@ -1,4 +1,4 @@
-//! Answers to the requests of routers, operators and other ledgers.
+//! Serves the requests of routers, operators and other ledgers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,28 +16,28 @@
 use swiftlink_wire::log::{Record, record};
 
 use crate::appender::{Outbox, Waiter};
-use crate::batcher::{BATCH_BYTES, BATCH_RECORDS, Decided};
-use crate::contact::Contact;
-use crate::joins::Joins;
+use crate::batcher::{EntryOutcome, MAX_BATCH_BYTES, MAX_BATCH_RECORDS};
+use crate::join_filter::JoinFilter;
+use crate::log_health::LogHealth;
 use crate::shards::{Shard, Shards};
 use crate::stream::Stream;
 
-/// Longest wait for the fates of submitted records.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
-/// Time after which a follower gets a page even if it is empty, for the age in it.
-pub const BEAT: Duration = Duration::from_millis(500);
-/// Detail of a failure of a process that takes no more records.
+/// Longest time that a request may wait for the fates of submitted records.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Interval at which a follower gets a page even without records, for the age in it.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Failure detail while the process accepts no more records.
 const STOPPING: &str = "the ledger is stopping";
 
-/// The ledger's side of the links.
+/// Handler of the requests that arrive over links.
 #[derive(Debug)]
 pub struct Service {
     name: Arc<str>,
     domain: Arc<str>,
     config: Arc<Stream<swiftlink_resource::Fold>>,
     shards: Arc<Shards>,
-    contact: Arc<Contact>,
-    joins: Joins,
+    log_health: Arc<LogHealth>,
+    joins: JoinFilter,
     closed: AtomicBool,
 }
 
@@ -60,54 +60,55 @@
             | request::Kind::GetFeed(_)
             | request::Kind::Ends(_)
             | request::Kind::Tally(_)
-            | request::Kind::GetSeen(_) => Err(failure(FailureKind::NotServed, NO_RIGHTS)),
+            | request::Kind::GetSeen(_) => Err(failure(FailureKind::NotServed, ROUTER_REQUEST)),
         };
         let last = answer.unwrap_or_else(reply::Kind::Failure);
-        // A caller that has gone needs no answer.
+        // Fails if the caller has disconnected.
         let _result = replies.send(last, true).await;
     }
 }
 
-/// Answer to who asks what routers of the gateway answer each other.
-const NO_RIGHTS: &str = "a ledger holds no rights and follows no platform";
+/// Failure detail for requests that only routers of the gateway answer.
+const ROUTER_REQUEST: &str = "a ledger holds no rights and follows no platform";
 
-type Answer = Result<reply::Kind, Failure>;
+type ReplyResult = Result<reply::Kind, Failure>;
 
 impl Service {
-    /// Serves the folded streams as process `name` in failure domain `domain`.
+    /// Creates a handler that serves the folded streams as process `name` in failure domain
+    /// `domain`.
     #[must_use]
     pub fn new(
         name: Arc<str>,
         domain: Arc<str>,
         config: Arc<Stream<swiftlink_resource::Fold>>,
         shards: Arc<Shards>,
-        contact: Arc<Contact>,
-        joins: Joins,
+        log_health: Arc<LogHealth>,
+        joins: JoinFilter,
     ) -> Self {
         Self {
             name,
             domain,
             config,
             shards,
-            contact,
+            log_health,
             joins,
             closed: AtomicBool::new(false),
         }
     }
 
-    /// Takes no more records; those taken are still answered.
+    /// Refuses new records from now on; accepted ones are still answered.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
 
-    async fn submit(&self, submit: Submit, replies: &Replies) -> Answer {
+    async fn submit(&self, submit: Submit, replies: &Replies) -> ReplyResult {
         let (_, shard) = self.admit(&submit.stream, &submit.records)?;
         self.check_joins(&submit.records)?;
-        let mut waiter = queue(&shard.outbox, submit.records)?;
-        let limit = Duration::from_millis(u64::from(submit.wait_ms)).min(WAIT_LIMIT);
+        let mut waiter = enqueue(&shard.outbox, submit.records)?;
+        let limit = Duration::from_millis(u64::from(submit.wait_ms)).min(MAX_WAIT);
         let decided = tokio::select! {
             decided = tokio::time::timeout(limit, waiter.wait()) => decided,
-            () = replies.closed() => return Err(gone()),
+            () = replies.closed() => return Err(caller_gone()),
         };
         match decided {
             Ok(Some(decided)) => Ok(submitted(decided)),
@@ -116,18 +117,18 @@
         }
     }
 
-    async fn settle(&self, settle: Settle, replies: &Replies) -> Answer {
+    async fn settle(&self, settle: Settle, replies: &Replies) -> ReplyResult {
         let kind = settle.charges.map(record::Kind::Charges);
         let records = vec![Record { kind }];
         let (_, shard) = self.admit(&settle.stream, &records)?;
         let charged_cost = shard.charged(&records);
-        let mut waiter = queue(&shard.outbox, records)?;
-        // The charge is kept from here on, whatever becomes of the caller.
+        let mut waiter = enqueue(&shard.outbox, records)?;
+        // From here on the charge is kept even if the caller disconnects.
         let stored = reply::Kind::Stored(Stored { charged_cost });
         let _result = replies.send(stored, false).await;
         let decided = tokio::select! {
             decided = waiter.wait() => decided,
-            () = replies.closed() => return Err(gone()),
+            () = replies.closed() => return Err(caller_gone()),
         };
         match decided {
             Some(decided) => Ok(submitted(decided)),
@@ -135,7 +136,7 @@
         }
     }
 
-    async fn follow(&self, follow: &Follow, replies: &Replies) -> Answer {
+    async fn follow(&self, follow: &Follow, replies: &Replies) -> ReplyResult {
         if follow.stream == self.config.name().as_str() {
             return Err(serve_pages(&self.config, follow.from, replies).await);
         }
@@ -143,7 +144,7 @@
         Err(serve_pages(&shard.stream, follow.from, replies).await)
     }
 
-    fn pending(&self, ask: &GetPending) -> Answer {
+    fn pending(&self, ask: &GetPending) -> ReplyResult {
         let Some(incarnation) = &ask.incarnation else {
             return Err(failure(FailureKind::BadRequest, "incarnation is missing"));
         };
@@ -155,7 +156,7 @@
         Pong {
             name: self.name.to_string(),
             domain: self.domain.to_string(),
-            log_age_ms: self.contact.age_ms(),
+            log_age_ms: self.log_health.age_ms(),
         }
     }
 
@@ -182,21 +183,21 @@
         }
         let (number, shard) = self.shard(name)?;
         let fits = self.shards.check(number, records);
-        fits.map_err(|unfit| failure(FailureKind::BadRequest, &unfit.to_string()))?;
+        fits.map_err(|error| failure(FailureKind::BadRequest, &error.to_string()))?;
         let bytes: usize = records.iter().map(Message::encoded_len).sum();
-        if bytes > BATCH_BYTES || records.len() > BATCH_RECORDS {
+        if bytes > MAX_BATCH_BYTES || records.len() > MAX_BATCH_RECORDS {
             return Err(failure(FailureKind::BadRequest, "too many records at once"));
         }
         Ok((number, shard))
     }
 }
 
-fn queue(outbox: &Arc<Outbox>, records: Vec<Record>) -> Result<Waiter, Failure> {
+fn enqueue(outbox: &Arc<Outbox>, records: Vec<Record>) -> Result<Waiter, Failure> {
     let queued = outbox.submit(records);
     queued.map_err(|full| failure(FailureKind::Overloaded, &full.to_string()))
 }
 
-fn submitted(decided: Decided) -> reply::Kind {
+fn submitted(decided: EntryOutcome) -> reply::Kind {
     reply::Kind::Submitted(Submitted {
         fates: decided.fates,
         offset: decided.offset,
@@ -210,7 +211,7 @@
     }
 }
 
-/// Sends pages from `from` on until the follower has gone.
+/// Sends pages from `from` on until the follower disconnects.
 async fn serve_pages<F: Fold>(stream: &Stream<F>, from: u64, replies: &Replies) -> Failure {
     let mut changes = stream.subscribe();
     let mut from = from;
@@ -221,19 +222,19 @@
         from = newest.unwrap_or(from);
         let behind = from < page.next;
         if replies.send(reply::Kind::Page(page), false).await.is_err() {
-            return gone();
+            return caller_gone();
         }
         if behind {
             continue;
         }
         tokio::select! {
-            _changed = tokio::time::timeout(BEAT, changes.changed()) => {}
-            () = replies.closed() => return gone(),
+            _changed = tokio::time::timeout(HEARTBEAT_INTERVAL, changes.changed()) => {}
+            () = replies.closed() => return caller_gone(),
         }
     }
 }
 
-/// For a caller that takes no more replies; it won't be read.
-fn gone() -> Failure {
+/// Failure for a caller that has disconnected and won't read it.
+fn caller_gone() -> Failure {
     failure(FailureKind::NotServed, "the caller has gone")
 }
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -16,47 +16,48 @@
     pub listen: SocketAddr,
     /// Address of the platform's log.
     pub log: SocketAddr,
-    /// Address of the platform's VM list; without it no router is retired by the list.
+    /// Address of the platform's VM list; without it, no router is retired because its VM
+    /// left the list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub vms: Option<SocketAddr>,
     /// The other ledgers; `name` is the name of the ledger's VM.
     #[serde(default)]
     pub peers: Vec<LinkPeer>,
-    /// Number of budget streams; the same on every process.
+    /// Number of budget streams; must be the same in every process.
     #[serde(default = "defaults::shards")]
     pub shards: u32,
-    /// Least time between two appends to one stream (ms).
+    /// Shortest time between two appends to one stream (ms).
     #[serde(default = "defaults::batch_ms")]
     pub batch_ms: u64,
-    /// Appends a second that the process makes in the long run, over all streams.
+    /// Long-term limit of appends per second over all streams.
     #[serde(default = "defaults::append_rate")]
     pub append_rate: u32,
-    /// Appends that may go at once after a quiet time.
+    /// Appends that may go at once after an idle period.
     #[serde(default = "defaults::append_burst")]
     pub append_burst: u32,
-    /// Time after which an append or a read counts as unanswered (ms).
+    /// Time after which an append or a read without an answer fails (ms).
     #[serde(default = "defaults::log_timeout_ms")]
     pub log_timeout_ms: u64,
     /// How long one read of the log waits for a record (ms).
     #[serde(default = "defaults::poll_ms")]
     pub poll_ms: u64,
-    /// Records after which a new snapshot is written.
+    /// Number of records after which a new snapshot is written.
     #[serde(default = "defaults::snapshot_every")]
     pub snapshot_every: u64,
-    /// Time after which a new snapshot is written in any case (s); well below the
-    /// time for which the log keeps records.
+    /// Age after which a new snapshot is written in any case (s); must be well below the
+    /// log's retention time.
     #[serde(default = "defaults::snapshot_secs")]
     pub snapshot_secs: u64,
-    /// Bytes of records that may wait for the log, per stream.
+    /// Largest total size of the records that wait for the log, per stream (bytes).
     #[serde(default = "defaults::queue_bytes")]
     pub queue_bytes: usize,
-    /// Bytes of records kept to serve to followers, per stream.
+    /// Largest total size of the records kept for followers, per stream (bytes).
     #[serde(default = "defaults::tail_bytes")]
     pub tail_bytes: usize,
-    /// Answers of the VM list in a row without a VM after which it is gone.
+    /// Number of successive reads of the VM list without a VM after which the VM is gone.
     #[serde(default = "defaults::vm_reads")]
     pub vm_reads: u32,
-    /// Most time that a stop waits for appends in flight (ms).
+    /// Longest time that a shutdown spends on appending or handing over queued records (ms).
     #[serde(default = "defaults::stop_ms")]
     pub stop_ms: u64,
 }
@@ -87,8 +88,8 @@
             ("queue_bytes", self.queue_bytes),
             ("tail_bytes", self.tail_bytes),
         ] {
-            if value < LEAST_BYTES {
-                let detail = format!("must be at least {LEAST_BYTES}");
+            if value < MIN_BUFFER_BYTES {
+                let detail = format!("must be at least {MIN_BUFFER_BYTES}");
                 return Err(CheckError::new(key, detail));
             }
         }
@@ -96,8 +97,8 @@
     }
 }
 
-/// Room for a few batches or snapshot chunks.
-const LEAST_BYTES: usize = 1024 * 1024;
+/// Smallest size of a buffer in bytes: enough for a few batches or snapshot chunks.
+const MIN_BUFFER_BYTES: usize = 1024 * 1024;
 
 mod defaults {
     pub(super) fn shards() -> u32 {
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -7,18 +7,18 @@
 use swiftlink_wire::link::BudgetView;
 use swiftlink_wire::log::{Record, record};
 
-use crate::appender::{Appends, Outbox};
+use crate::appender::{AppendCounters, Outbox};
 use crate::stream::Stream;
 
-/// One budget stream: its folded state and what is to be appended.
+/// One budget stream: its folded state and the records to append.
 #[derive(Debug)]
 pub struct Shard {
     /// The folded stream.
     pub stream: Arc<Stream<Fold>>,
     /// Records that wait for the log.
     pub outbox: Arc<Outbox>,
-    /// Counts of its appends.
-    pub appends: Arc<Appends>,
+    /// Counters of its appends.
+    pub appends: Arc<AppendCounters>,
 }
 
 /// All budget streams, by shard number.
@@ -27,33 +27,33 @@
     list: Vec<Shard>,
 }
 
-/// Why records can't be appended to a stream.
+/// Reason why submitted records are refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
-    /// No record, or one without a kind.
+pub enum SubmitError {
+    /// There is no record, or one without a kind.
     #[error("a record is missing")]
-    Missing,
+    MissingRecord,
     /// A record names a budget of another stream.
     #[error("a record names a budget of another stream; is `shards` the same everywhere?")]
-    Elsewhere,
-    /// Top-ups, retirements, releases and snapshots are the ledgers' own to write.
+    WrongStream,
+    /// Only ledgers write top-ups, retirements, releases and snapshots.
     #[error("the kind of record is not for submitting")]
-    Reserved,
+    ReservedKind,
 }
 
 impl Shards {
-    /// Wraps the streams of shards 0, 1, and so on.
+    /// Creates the collection from the streams of shards 0, 1, and so on.
     #[must_use]
     pub fn new(list: Vec<Shard>) -> Self {
         Self { list }
     }
 
-    /// All shards in order.
+    /// All shards, in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = &Shard> {
         self.list.iter()
     }
 
-    /// The shard with the stream `name`, and its number.
+    /// Number and shard of the stream `name`.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<(u32, &Shard)> {
         let mut numbered = (0..).zip(&self.list);
@@ -62,7 +62,7 @@
 
     /// The shard that holds `budget`.
     #[must_use]
-    pub fn of_budget(&self, budget: &str) -> Option<&Shard> {
+    pub fn for_budget(&self, budget: &str) -> Option<&Shard> {
         let shard = shard_of(budget, self.count());
         self.list.get(shard as usize)
     }
@@ -73,7 +73,7 @@
         u32::try_from(self.list.len()).expect("the number of shards is a u32 setting")
     }
 
-    /// Charges of `incarnation` that no fold here has shown yet.
+    /// Number of charges of `incarnation` that this ledger holds and hasn't folded yet.
     #[must_use]
     pub fn pending(&self, incarnation: &Incarnation) -> u64 {
         let counts = self
@@ -90,7 +90,7 @@
             return self.list.iter().flat_map(Shard::views).collect();
         }
         let found = names.iter().filter_map(|name| {
-            let shard = self.of_budget(name)?;
+            let shard = self.for_budget(name)?;
             shard.view(name)
         });
         found.collect()
@@ -99,24 +99,24 @@
     /// Checks that `records` may be submitted to shard `shard`.
     ///
     /// # Errors
-    /// Why they may not.
-    pub fn check(&self, shard: u32, records: &[Record]) -> Result<(), Unfit> {
+    /// The reason why the first unsuitable record is refused.
+    pub fn check(&self, shard: u32, records: &[Record]) -> Result<(), SubmitError> {
         if records.is_empty() {
-            return Err(Unfit::Missing);
+            return Err(SubmitError::MissingRecord);
         }
         for record in records {
-            let kind = record.kind.as_ref().ok_or(Unfit::Missing)?;
+            let kind = record.kind.as_ref().ok_or(SubmitError::MissingRecord)?;
             self.check_kind(shard, kind)?;
         }
         Ok(())
     }
 
-    fn check_kind(&self, shard: u32, kind: &record::Kind) -> Result<(), Unfit> {
+    fn check_kind(&self, shard: u32, kind: &record::Kind) -> Result<(), SubmitError> {
         use record::Kind;
 
         match kind {
             Kind::TopUp(_) | Kind::Retire(_) | Kind::Release(_) | Kind::Snapshot(_) => {
-                Err(Unfit::Reserved)
+                Err(SubmitError::ReservedKind)
             }
             Kind::Join(_) | Kind::Mark(_) => Ok(()),
             Kind::Claim(claim) => self.check_budget(shard, &claim.budget),
@@ -130,16 +130,16 @@
         }
     }
 
-    fn check_budget(&self, shard: u32, budget: &str) -> Result<(), Unfit> {
+    fn check_budget(&self, shard: u32, budget: &str) -> Result<(), SubmitError> {
         if shard_of(budget, self.count()) == shard {
             return Ok(());
         }
-        Err(Unfit::Elsewhere)
+        Err(SubmitError::WrongStream)
     }
 }
 
 impl Shard {
-    /// What the key of a single charge was charged before.
+    /// If `records` consist of a single charge, the cost that its key was charged before.
     #[must_use]
     pub fn charged(&self, records: &[Record]) -> Option<Tokens> {
         let [record] = records else {
@@ -161,8 +161,8 @@
             let state = self.stream.state();
             state.get().map(Fold::views).unwrap_or_default()
         };
-        let dated = views.into_iter().map(|view| self.dated(view));
-        dated.collect()
+        let with_age = views.into_iter().map(|view| self.with_age(view));
+        with_age.collect()
     }
 
     fn view(&self, budget: &str) -> Option<BudgetView> {
@@ -170,10 +170,10 @@
             let state = self.stream.state();
             state.get()?.view(budget)?
         };
-        Some(self.dated(view))
+        Some(self.with_age(view))
     }
 
-    fn dated(&self, mut view: BudgetView) -> BudgetView {
+    fn with_age(&self, mut view: BudgetView) -> BudgetView {
         view.offset = self.stream.state().applied().saturating_sub(1);
         view.age_ms = self.stream.age_ms();
         view
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -1,4 +1,4 @@
-//! What the admin endpoint shows of the process.
+//! State of the process for the admin endpoint.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,20 +10,20 @@
 use swiftlink_resource::Fold as ConfigFold;
 use swiftlink_shell::Dump;
 
-use crate::contact::Contact;
+use crate::log_health::LogHealth;
 use crate::peers::{Peer, Peers};
 use crate::proof::has_successor;
 use crate::settings::LedgerSettings;
 use crate::shards::{Shard, Shards};
 use crate::stream::Stream;
-use crate::vm_list::Vms;
+use crate::vm_list::SharedVmTracker;
 
-/// The ledger's state on request.
+/// Source of the ledger's status and dump.
 #[derive(Debug)]
 pub struct Status {
     /// Name of the process.
     pub name: Arc<str>,
-    /// Settings in force; secrets print as `***`.
+    /// Settings of the process; secrets are shown as `***`.
     pub settings: LedgerSettings,
     /// The configuration stream.
     pub config: Arc<Stream<ConfigFold>>,
@@ -32,17 +32,17 @@
     /// The other ledgers.
     pub peers: Arc<Peers>,
     /// The VM list.
-    pub vms: Arc<Vms>,
-    /// When the log was last heard from.
-    pub contact: Arc<Contact>,
+    pub vms: Arc<SharedVmTracker>,
+    /// Reachability of the log.
+    pub log_health: Arc<LogHealth>,
 }
 
 impl Dump for Status {
     fn dump(&self) -> Value {
         let (version, gone) = self.vms.summary();
-        let config = progress_of(&self.config);
-        let shards: Vec<Value> = self.shards.iter().map(dump_of).collect();
-        let peers: Vec<Value> = self.peers.iter().map(peer_of).collect();
+        let config = progress_json(&self.config);
+        let shards: Vec<Value> = self.shards.iter().map(shard_dump).collect();
+        let peers: Vec<Value> = self.peers.iter().map(peer_json).collect();
         let mut dump = self.status();
         dump["settings"] = serde_json::to_value(&self.settings).unwrap_or(Value::Null);
         dump["config"] = config;
@@ -53,9 +53,9 @@
     }
 
     fn status(&self) -> Value {
-        let mut streams = vec![stream_of(&self.config, 0)];
+        let mut streams = vec![stream_json(&self.config, 0)];
         for shard in self.shards.iter() {
-            streams.push(stream_of(&shard.stream, shard.outbox.pending_total()));
+            streams.push(stream_json(&shard.stream, shard.outbox.pending_total()));
         }
         let appends = self.shards.iter().map(|shard| &shard.appends);
         let sent: u64 = appends
@@ -67,7 +67,7 @@
             "domain": self.settings.common.domain,
             "role": "ledger",
             "version": self.version(),
-            "log_age_ms": self.contact.age_ms(),
+            "log_age_ms": self.log_health.age_ms(),
             "appends": sent,
             "streams": streams,
         })
@@ -81,7 +81,7 @@
     }
 }
 
-fn stream_of<F: Fold>(stream: &Stream<F>, pending: u64) -> Value {
+fn stream_json<F: Fold>(stream: &Stream<F>, pending: u64) -> Value {
     json!({
         "name": stream.name().as_str(),
         "offset": stream.next(),
@@ -90,7 +90,7 @@
     })
 }
 
-fn progress_of<F: Fold>(stream: &Stream<F>) -> Value {
+fn progress_json<F: Fold>(stream: &Stream<F>) -> Value {
     let progress = stream.progress();
     json!({
         "name": stream.name().as_str(),
@@ -106,8 +106,8 @@
     })
 }
 
-fn dump_of(shard: &Shard) -> Value {
-    let mut dump = progress_of(&shard.stream);
+fn shard_dump(shard: &Shard) -> Value {
+    let mut dump = progress_json(&shard.stream);
     dump["pending"] = Value::from(shard.outbox.pending_total());
     dump["queued_bytes"] = Value::from(shard.outbox.bytes());
     dump["appends"] = Value::from(shard.appends.sent.load(Ordering::Relaxed));
@@ -117,35 +117,35 @@
         return dump;
     };
     dump["budgets"] = fold.views().len().into();
-    dump["active"] = names_of(fold.active().into_iter().map(|router| router.incarnation));
-    dump["retired"] = retired_of(fold);
+    dump["active"] = names_json(fold.active().into_iter().map(|router| router.incarnation));
+    dump["retired"] = retired_json(fold);
     dump
 }
 
-fn names_of(names: impl Iterator<Item = impl fmt::Display>) -> Value {
+fn names_json(names: impl Iterator<Item = impl fmt::Display>) -> Value {
     names.map(|name| name.to_string()).collect()
 }
 
-fn retired_of(fold: &BudgetFold) -> Value {
+fn retired_json(fold: &BudgetFold) -> Value {
     let retired = fold.retired().into_iter().map(|router| {
         json!({
             "router": router.incarnation.to_string(),
             "address": router.address.to_string(),
             "unspent": router.unspent,
-            "held": held_of(&router),
+            "held": held_json(&router),
             "proved": has_successor(&router, fold),
         })
     });
     retired.collect()
 }
 
-fn held_of(router: &RetiredRouter) -> Value {
+fn held_json(router: &RetiredRouter) -> Value {
     let held = router.held.iter();
     let entries = held.map(|(budget, tokens)| (budget.to_string(), Value::from(*tokens)));
     Value::Object(entries.collect())
 }
 
-fn peer_of(peer: &Peer) -> Value {
+fn peer_json(peer: &Peer) -> Value {
     json!({
         "name": &*peer.name,
         "address": peer.address.to_string(),
--- a/crates/ledger/src/stream.rs
+++ b/crates/ledger/src/stream.rs
@@ -1,4 +1,4 @@
-//! One followed stream: its folded state, the records kept to serve, its age.
+//! A followed stream: its folded state, its staleness, and the records kept for followers.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,27 +9,28 @@
 use swiftlink_wire::log::LogRecord;
 use tokio::sync::watch;
 
-use crate::clock::{Clock, NEVER_MS, lock};
+use crate::clock::{Clock, UNKNOWN_AGE_MS, lock};
 use crate::tail::Tail;
 
-/// Most bytes of records in one page that is served.
-const PAGE_BYTES: usize = 1024 * 1024;
+/// Largest total size of the records in one served page (bytes).
+const MAX_PAGE_BYTES: usize = 1024 * 1024;
 
-/// Takes the fates of a stream's records as they are folded.
+/// Receives the fates of a stream's records as they are folded.
 pub trait Sink<T>: Send + Sync + 'static {
-    /// The records at these offsets were decided; the state holds all below `next`.
-    fn decided(&self, fates: Vec<(u64, T)>, next: u64);
+    /// Called when the records at these offsets were decided. The state then holds all
+    /// records below `next`.
+    fn on_decided(&self, fates: Vec<(u64, T)>, next: u64);
 }
 
-/// A sink for streams whose fates nobody waits for.
+/// A sink that ignores all fates.
 #[derive(Debug, Clone, Copy)]
 pub struct NoSink;
 
 impl<T> Sink<T> for NoSink {
-    fn decided(&self, _fates: Vec<(u64, T)>, _next: u64) {}
+    fn on_decided(&self, _fates: Vec<(u64, T)>, _next: u64) {}
 }
 
-/// A stream that this process folds.
+/// A stream that this process follows and folds.
 pub struct Stream<F: Fold> {
     name: StreamName,
     clock: Clock,
@@ -42,39 +43,40 @@
 struct Inner<F: Fold> {
     replica: Replica<F>,
     tail: Tail,
-    known: Option<Micros>,
+    /// Latest time at which the state held every record up to the log's end.
+    end_known_at: Option<Micros>,
 }
 
-/// What is known of a stream, for status, dump and the snapshot decision.
+/// Progress of a stream, for the status, the dump and the snapshot schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     /// Offset to read next.
     pub next: u64,
     /// Whether the state holds every record before `next`.
     pub ready: bool,
-    /// Records since the newest whole snapshot.
+    /// Number of records since the newest complete snapshot.
     pub since_snapshot: u64,
-    /// Offset of the newest whole snapshot seen.
+    /// Offset of the newest complete snapshot seen.
     pub snapshot: Option<u64>,
     /// Oldest offset that can be served.
     pub first: u64,
-    /// Bytes of records kept to serve.
+    /// Total size of the records kept for followers (bytes).
     pub tail_bytes: usize,
-    /// Records that could not be read.
+    /// Number of records that couldn't be decoded.
     pub malformed: u64,
-    /// Times that records were trimmed before they were read.
+    /// Number of times that records were trimmed before they were read.
     pub gaps: u64,
 }
 
 impl<F: Fold> Stream<F> {
-    /// A stream of which nothing was read yet. Keeps the records since the newest
-    /// snapshot, at most `limit` bytes. Fates go to `sink`.
+    /// Creates a stream of which nothing was read yet. Keeps the records since the newest
+    /// snapshot, at most `limit` bytes. Fates are passed to `sink`.
     #[must_use]
     pub fn new(name: StreamName, clock: Clock, limit: usize, sink: Arc<dyn Sink<F::Fate>>) -> Self {
         let inner = Inner {
             replica: Replica::new(),
             tail: Tail::default(),
-            known: None,
+            end_known_at: None,
         };
         Self {
             name,
@@ -98,35 +100,35 @@
         *self.next.borrow()
     }
 
-    /// Tells when records were folded.
+    /// Returns a receiver that is notified when records were folded.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.next.subscribe()
     }
 
-    /// Folds a page of which `first` is the oldest offset that its sender keeps.
-    /// `end` was the end of the log at the time `known`.
+    /// Folds a page of records. `first` is the oldest offset that its sender keeps, and
+    /// `end` was the end of the log at the time `end_known_at`.
     ///
     /// # Errors
-    /// When the page leaves out records; it has to be read again.
+    /// When the page has a gap in its records; it must be read again.
     pub fn feed(
         &self,
         first: u64,
         records: &[LogRecord],
         end: u64,
-        known: Micros,
+        end_known_at: Micros,
     ) -> Result<(), ReplicaError> {
         let mut inner = lock(&self.inner);
         let before = inner.replica.next();
         let fates = inner.replica.feed(first, records)?;
         let next = inner.replica.next();
-        inner.keep(first, records, self.limit);
+        inner.keep_records(first, records, self.limit);
         if inner.replica.is_ready() && next >= end {
-            inner.known = inner.known.max(Some(known));
+            inner.end_known_at = inner.end_known_at.max(Some(end_known_at));
         }
-        // Under the lock, so that the sink sees fates and offsets in order.
+        // Called with the lock held, so that the sink gets fates and offsets in order.
         if inner.replica.is_ready() {
-            self.sink.decided(fates, next);
+            self.sink.on_decided(fates, next);
         }
         drop(inner);
         if next != before {
@@ -135,33 +137,33 @@
         Ok(())
     }
 
-    /// Folds a record that this process appended itself, if it is the next one;
-    /// otherwise the follower brings it. The append was sent at `sent`.
+    /// Folds a record that this process appended itself, if it is the next one; otherwise
+    /// the follower will read it. The append was sent at `sent`.
     pub fn offer(&self, record: LogRecord, sent: Micros) {
         if record.offset != self.next() {
             return;
         }
         let end = record.offset + 1;
-        // A record that came by another way meanwhile is a copy and ignored.
+        // Ignored if the follower has read the record in the meantime.
         let _result = self.feed(0, &[record], end, sent);
     }
 
-    /// The state in force, if there is one.
+    /// Locks the stream for access to its state.
     #[must_use]
     pub fn state(&self) -> StateGuard<'_, F> {
         StateGuard(lock(&self.inner))
     }
 
-    /// Time since the log's end was last known here, in milliseconds;
-    /// [`NEVER_MS`] when it never was.
+    /// Time since the state last reached the end of the log, in milliseconds;
+    /// [`UNKNOWN_AGE_MS`] if it never did.
     #[must_use]
     pub fn age_ms(&self) -> u64 {
-        let known = lock(&self.inner).known;
+        let known = lock(&self.inner).end_known_at;
         let age = known.map(|known| self.clock.now().saturating_sub(known) / MICROS_PER_MS);
-        age.unwrap_or(NEVER_MS).min(NEVER_MS)
+        age.unwrap_or(UNKNOWN_AGE_MS).min(UNKNOWN_AGE_MS)
     }
 
-    /// Records from `from` on, as they are served to others.
+    /// Page of records from `from` on, for followers.
     #[must_use]
     pub fn page(&self, from: u64) -> Page {
         let age_ms = self.age_ms();
@@ -169,19 +171,19 @@
         Page {
             first: inner.tail.first(),
             next: inner.tail.next(),
-            records: inner.tail.read(from, PAGE_BYTES),
+            records: inner.tail.read(from, MAX_PAGE_BYTES),
             age_ms,
         }
     }
 
-    /// What is known of the stream.
+    /// Progress of the stream.
     #[must_use]
     pub fn progress(&self) -> Progress {
         let inner = lock(&self.inner);
         let stats = inner.replica.stats();
         Progress {
             next: inner.replica.next(),
-            ready: inner.replica.is_ready() && inner.known.is_some(),
+            ready: inner.replica.is_ready() && inner.end_known_at.is_some(),
             since_snapshot: inner.replica.since_snapshot(),
             snapshot: inner.replica.newest_snapshot(),
             first: inner.tail.first(),
@@ -191,7 +193,8 @@
         }
     }
 
-    /// The encoded state and the offset of the last record in it, for a snapshot.
+    /// Offset of the last folded record and the encoded state, for a snapshot. `None` if
+    /// the state doesn't hold all records.
     #[must_use]
     pub fn encode(&self) -> Option<(u64, Vec<u8>)> {
         let inner = lock(&self.inner);
@@ -214,7 +217,7 @@
 }
 
 impl<F: Fold> Inner<F> {
-    fn keep(&mut self, first: u64, records: &[LogRecord], limit: usize) {
+    fn keep_records(&mut self, first: u64, records: &[LogRecord], limit: usize) {
         if first > self.tail.next() {
             self.tail.restart(first);
         }
@@ -231,20 +234,21 @@
     }
 }
 
-/// Shared access to a stream's state; holds back its follower, so keep it short.
+/// Access to a stream's state under its lock. Blocks the stream's follower, so it should
+/// be held only briefly.
 pub struct StateGuard<'a, F: Fold>(MutexGuard<'a, Inner<F>>);
 
 impl<F: Fold> StateGuard<'_, F> {
-    /// The last state in force.
+    /// The last valid state, which may lag behind the log.
     #[must_use]
     pub fn get(&self) -> Option<&F> {
         self.0.replica.state()
     }
 
-    /// The state, if it also holds all records up to a known end of the log.
+    /// The state, if it holds all records up to a known end of the log.
     #[must_use]
     pub fn current(&self) -> Option<&F> {
-        let current = self.0.replica.is_ready() && self.0.known.is_some();
+        let current = self.0.replica.is_ready() && self.0.end_known_at.is_some();
         self.get().filter(|_| current)
     }
 
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -1,16 +1,16 @@
-//! Records that a ledger keeps in memory to serve to its peers and to routers.
+//! Records that a ledger keeps in memory for followers: its peers and routers.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 use swiftlink_wire::log::LogRecord;
 
-/// The newest records of one stream, without gaps.
+/// The newest consecutive records of one stream.
 #[derive(Debug, Default)]
 pub struct Tail {
     records: VecDeque<(u64, Bytes)>,
     bytes: usize,
-    /// Offset after the last record; where the next one must go.
+    /// Offset after the last record.
     next: u64,
 }
 
@@ -29,14 +29,14 @@
         self.next
     }
 
-    /// Bytes of record data kept.
+    /// Total size of the kept records (bytes).
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Adds a record; one below the end is a copy and ignored, one beyond it
-    /// shows a gap, after which the older records are of no use.
+    /// Appends a record. A record below the end is a duplicate and ignored; one beyond the
+    /// end leaves a gap, so the older records are dropped.
     pub fn push(&mut self, offset: u64, data: &[u8]) {
         if offset < self.next {
             return;
@@ -50,7 +50,7 @@
         self.next = offset + 1;
     }
 
-    /// Forgets all records; the next is at `offset`.
+    /// Drops all records and expects the next one at `offset`.
     pub fn restart(&mut self, offset: u64) {
         self.records.clear();
         self.bytes = 0;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Records from `from` on, at most `limit` bytes but always one if there is one.
+    /// Records from `from` on, at most `limit` bytes, but at least one if there is any.
     #[must_use]
     pub fn read(&self, from: u64, limit: usize) -> Vec<LogRecord> {
         let skip = from.saturating_sub(self.first());
--- a/crates/ledger/src/vm_list.rs
+++ b/crates/ledger/src/vm_list.rs
@@ -9,36 +9,36 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::clock::lock;
-use crate::vms::{VmList, VmWatch};
+use crate::vm_tracker::{VmList, VmTracker};
 
-/// Pause between two reads.
-const POLL: Duration = Duration::from_secs(1);
-/// Time after which a read counts as unanswered.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between two reads.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a read fails.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the VM list said so far, shared between tasks.
+/// A [`VmTracker`] that is shared between tasks.
 #[derive(Debug)]
-pub struct Vms(Mutex<VmWatch>);
+pub struct SharedVmTracker(Mutex<VmTracker>);
 
-impl Vms {
-    /// Nothing was read yet; a VM is gone after `reads` answers without it.
+impl SharedVmTracker {
+    /// Creates a tracker for which a VM is gone after `reads` successive reads without it.
     #[must_use]
     pub fn new(reads: u32) -> Arc<Self> {
-        Arc::new(Self(Mutex::new(VmWatch::new(reads))))
+        Arc::new(Self(Mutex::new(VmTracker::new(reads))))
     }
 
-    /// Takes an answer of the list; returns whether it was believed.
-    pub fn read(&self, list: &VmList) -> bool {
-        lock(&self.0).read(list)
+    /// Records one read of the list; returns whether it was accepted.
+    pub fn observe(&self, list: &VmList) -> bool {
+        lock(&self.0).observe(list)
     }
 
-    /// Whether `vm` was listed once and is gone now.
+    /// Whether `vm` was listed before and is gone now.
     #[must_use]
     pub fn is_gone(&self, vm: &str) -> bool {
         lock(&self.0).is_gone(vm)
     }
 
-    /// Whether the newest answers leave out `vm`, whether or not it was listed before.
+    /// Whether `vm` is absent from the newest reads, whether or not it was listed before.
     #[must_use]
     pub fn is_absent(&self, vm: &str) -> bool {
         lock(&self.0).is_absent(vm)
@@ -46,32 +46,32 @@
 
     /// Whether any VM is gone.
     #[must_use]
-    pub fn any_gone(&self) -> bool {
+    pub fn has_gone(&self) -> bool {
         lock(&self.0).gone().next().is_some()
     }
 
-    /// Newest version of the list, and the VMs that are gone.
+    /// Newest version of the list, and the sorted names of the VMs that are gone.
     #[must_use]
     pub fn summary(&self) -> (u64, Vec<String>) {
-        let watch = lock(&self.0);
-        let mut gone: Vec<String> = watch.gone().map(str::to_owned).collect();
+        let tracker = lock(&self.0);
+        let mut gone: Vec<String> = tracker.gone().map(str::to_owned).collect();
         gone.sort();
-        (watch.version(), gone)
+        (tracker.version(), gone)
     }
 }
 
-/// The task that polls the list.
+/// Task that polls the VM list.
 #[derive(Debug)]
 pub struct Poller {
     address: SocketAddr,
     http: Http,
-    vms: Arc<Vms>,
+    vms: Arc<SharedVmTracker>,
 }
 
 impl Poller {
-    /// Polls the list at `address` under the name `agent`.
+    /// Creates a task that polls the list at `address`, with `agent` as the user agent.
     #[must_use]
-    pub fn new(address: SocketAddr, agent: Arc<str>, vms: Arc<Vms>) -> Self {
+    pub fn new(address: SocketAddr, agent: Arc<str>, vms: Arc<SharedVmTracker>) -> Self {
         Self {
             address,
             http: Http::open(agent),
@@ -85,19 +85,19 @@
     }
 
     async fn poll(&self) {
-        let mut reached = true;
+        let mut is_reachable = true;
         loop {
-            let answer = VmList::read(&self.http, self.address, TIMEOUT).await;
+            let answer = VmList::read(&self.http, self.address, READ_TIMEOUT).await;
             if let Err(error) = &answer
-                && reached
+                && is_reachable
             {
                 event!(warn, "vms.out_of_reach", error = error);
             }
-            reached = answer.is_ok();
+            is_reachable = answer.is_ok();
             if let Ok(list) = answer {
-                self.vms.read(&list);
+                self.vms.observe(&list);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/ledger/src/void.rs
+++ b/crates/ledger/src/void.rs
@@ -1,28 +1,29 @@
-//! Charges that came too late: an answer was delivered, and nothing was paid for it.
+//! Void charges: they came too late or exceeded the grant, so an answer was delivered that
+//! nothing was paid for.
 
 use swiftlink_types::{Incarnation, RequestKey, Tokens};
 use swiftlink_wire::log::{Charge, ChargeFate, Fate, Record, fate, record};
 
-/// A charge that counts for nothing though its key was never charged.
+/// A charge that was rejected although its key was never charged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoidCharge {
-    /// The router that ran the request.
+    /// Router that executed the request.
     pub router: Incarnation,
     /// Key of the request.
     pub key: String,
-    /// Workspace that asked.
+    /// Workspace of the request.
     pub workspace: String,
-    /// Budget that should have paid.
+    /// Budget that should have been charged.
     pub budget: String,
-    /// What it should have paid (tokens).
+    /// Cost that should have been charged (tokens).
     pub cost: Tokens,
-    /// Why it did not.
+    /// Reason why it wasn't charged.
     pub reason: ChargeFate,
 }
 
-/// The void charges among `records`, whose `fates` are in the same order.
+/// Returns the void charges among `records`, whose `fates` are in the same order.
 ///
-/// A second charge of a key is none: the first has paid.
+/// A second charge of a key isn't void: the first one has paid.
 #[must_use]
 pub fn void_charges(records: &[Record], fates: &[Fate]) -> Vec<VoidCharge> {
     let mut found = Vec::new();
@@ -38,7 +39,7 @@
         for (item, reason) in charges.items.iter().zip(fate.items.iter().copied()) {
             match ChargeFate::try_from(reason) {
                 Ok(reason @ (ChargeFate::VoidReleased | ChargeFate::Overdrawn)) => {
-                    found.push(void(&router, item, reason));
+                    found.push(to_void_charge(&router, item, reason));
                 }
                 _ => continue,
             }
@@ -47,7 +48,7 @@
     found
 }
 
-fn void(router: &Incarnation, item: &Charge, reason: ChargeFate) -> VoidCharge {
+fn to_void_charge(router: &Incarnation, item: &Charge, reason: ChargeFate) -> VoidCharge {
     let key = RequestKey::from_bytes(&item.key);
     VoidCharge {
         router: router.clone(),
@@ -59,7 +60,7 @@
     }
 }
 
-/// How metrics and the log name what became of a charge.
+/// Name of a charge's fate in metrics and logs.
 #[must_use]
 pub fn fate_name(fate: i32) -> &'static str {
     match ChargeFate::try_from(fate) {
--- a/crates/ledger/tests/append.rs
+++ b/crates/ledger/tests/append.rs
@@ -1,4 +1,4 @@
-//! Appends under lost answers and outages; charges that outlive their router.
+//! Appends with lost answers and during outages; charges that outlive their router.
 
 mod common;
 
@@ -6,7 +6,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use common::{LONG, charge, claim, declare, eventually, fleet, join, single, stream};
+use common::{
+    TIMEOUT, charge, claim, declare_budget, eventually, join, spawn_fleet, spawn_single, stream,
+};
 use swiftlink_link::LinkError;
 use swiftlink_log::{Fault, MemLog};
 use swiftlink_wire::link::{FailureKind, reply};
@@ -15,14 +17,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_claim_is_granted_and_a_charge_is_counted() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
-    node.up().await;
-    declare(&log, 1_000, "proof").await;
-    node.topped_up().await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
+    declare_budget(&log, 1_000, "proof").await;
+    node.wait_top_up().await;
 
-    assert!(matches!(node.one(join(1)).await, fate::Kind::Join(fate) if fate.active));
+    assert!(matches!(node.submit_one(join(1)).await, fate::Kind::Join(fate) if fate.active));
     assert!(
-        matches!(node.one(claim(1, 1, 100)).await, fate::Kind::Claim(fate) if fate.granted == 100)
+        matches!(node.submit_one(claim(1, 1, 100)).await, fate::Kind::Claim(fate) if fate.granted == 100)
     );
     let mut replies = node.settle(charge(1, 1, 40)).await;
     let decided = replies.next().await.unwrap().unwrap();
@@ -40,16 +42,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lost_answers_count_each_record_once() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
-    node.up().await;
-    declare(&log, 1_000, "proof").await;
-    node.topped_up().await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
+    declare_budget(&log, 1_000, "proof").await;
+    node.wait_top_up().await;
 
     for (fault, calls, base) in [(Fault::LoseAnswers, 20, 0), (Fault::LoseRequests, 8, 10)] {
         log.fail_next(fault, calls);
-        node.one(join(1)).await;
+        node.submit_one(join(1)).await;
         for seq in 1..=5 {
-            let fate = node.one(claim(1, base + seq, 10)).await;
+            let fate = node.submit_one(claim(1, base + seq, 10)).await;
             assert!(
                 matches!(fate, fate::Kind::Claim(fate) if fate.granted == 10),
                 "{fault:?}"
@@ -68,16 +70,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outage_is_said_and_recovery_needs_few_appends() {
+async fn an_outage_is_reported_and_recovery_needs_few_appends() {
     let log = Arc::new(MemLog::new());
-    let nodes = fleet(3, &log);
-    declare(&log, 100_000, "proof").await;
+    let nodes = spawn_fleet(3, &log);
+    declare_budget(&log, 100_000, "proof").await;
     for node in &nodes {
-        node.up().await;
-        node.topped_up().await;
+        node.wait_up().await;
+        node.wait_top_up().await;
     }
-    nodes[0].one(join(1)).await;
-    nodes[0].one(claim(1, 1, 50_000)).await;
+    nodes[0].submit_one(join(1)).await;
+    nodes[0].submit_one(claim(1, 1, 50_000)).await;
 
     log.set_fault(Fault::Outage);
     let refused = nodes[0]
@@ -103,14 +105,15 @@
             Some(Ok(reply::Kind::Submitted(_)))
         ));
     }
-    // The batch that probed, one with all that came meanwhile, and spare for the claim.
+    // One batch that probes the log, one with all records queued meanwhile, and a margin
+    // for the claim.
     for node in &nodes {
         let appends = node.log.appends.load(Ordering::SeqCst);
         assert!(appends <= 6, "{appends} appends for 100 charges");
     }
-    // Each charge was decided in the copy of its own ledger; the other copies follow the log.
+    // Each charge was decided by the fold of its own ledger; the other ledgers follow the log.
     for node in &nodes {
-        eventually("all charges in each copy", || node.charged() >= 3_000).await;
+        eventually("all charges in each fold", || node.charged() >= 3_000).await;
         assert_eq!(node.charged(), 3_000);
     }
     for node in nodes {
@@ -121,19 +124,19 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stored_charge_outlives_its_router() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
-    node.up().await;
-    declare(&log, 1_000, "proof").await;
-    node.topped_up().await;
-    node.one(join(1)).await;
-    node.one(claim(1, 1, 100)).await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
+    declare_budget(&log, 1_000, "proof").await;
+    node.wait_top_up().await;
+    node.submit_one(join(1)).await;
+    node.submit_one(claim(1, 1, 100)).await;
 
     log.set_fault(Fault::Outage);
     let replies = node.settle(charge(1, 1, 40)).await;
     drop(replies);
     node.client.stop().await;
     log.set_fault(Fault::None);
-    node.until("charge", |fold| {
+    node.wait_until("charge", |fold| {
         fold.view("b1").is_some_and(|view| view.charged == 40)
     })
     .await;
@@ -143,25 +146,26 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn two_ledgers_on_one_log_agree() {
     let log = Arc::new(MemLog::new());
-    let nodes = fleet(2, &log);
-    declare(&log, 1_000, "proof").await;
+    let nodes = spawn_fleet(2, &log);
+    declare_budget(&log, 1_000, "proof").await;
     for node in &nodes {
-        node.up().await;
-        node.topped_up().await;
+        node.wait_up().await;
+        node.wait_top_up().await;
     }
     let joined = [join(1), join(2)];
     nodes[0]
-        .submit(vec![joined[0].clone()], LONG)
+        .submit(vec![joined[0].clone()], TIMEOUT)
         .await
         .unwrap();
     nodes[1]
-        .submit(vec![joined[1].clone()], LONG)
+        .submit(vec![joined[1].clone()], TIMEOUT)
         .await
         .unwrap();
-    // The later start at the address has retired the earlier one, whoever was asked.
+    // The later incarnation at the address has retired the earlier one, whichever ledger
+    // got its join.
     let (first, second) = tokio::join!(
-        nodes[1].one(claim(1, 1, 100)),
-        nodes[0].one(claim(2, 1, 100))
+        nodes[1].submit_one(claim(1, 1, 100)),
+        nodes[0].submit_one(claim(2, 1, 100))
     );
     assert!(matches!(first, fate::Kind::Rejected(_)), "{first:?}");
     assert!(matches!(second, fate::Kind::Claim(fate) if fate.granted == 100));
@@ -170,7 +174,8 @@
         let (_, shard) = node.ledger.shards().find(stream().as_str()).unwrap();
         shard.stream.encode().unwrap()
     };
-    // A release may still come; the states are compared where both stand at the end.
+    // A release may still be appended, so the states are compared once both ledgers have
+    // reached the end of the log.
     common::eventually("both at the log's end", || {
         let (one, other) = (read(&nodes[0]), read(&nodes[1]));
         if one.0 == other.0 {
@@ -187,27 +192,27 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_join_whose_answer_was_lost_is_the_same_join() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
-    node.up().await;
-    declare(&log, 1_000, "proof").await;
-    node.topped_up().await;
-    // Before its join is in the log, a router may do nothing.
-    let fate = node.one(claim(1, 1, 10)).await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
+    declare_budget(&log, 1_000, "proof").await;
+    node.wait_top_up().await;
+    // Before its join is in the log, a router's claims are rejected.
+    let fate = node.submit_one(claim(1, 1, 10)).await;
     let unknown = RejectReason::UnknownIncarnation;
     assert!(matches!(fate, fate::Kind::Rejected(fate) if fate.reason() == unknown));
 
-    // The router hears nothing of the first two; one of them lands.
+    // The router gets no answer to the first two joins; one of them is appended.
     for fault in [Fault::Outage, Fault::LoseAnswers] {
         log.set_fault(fault);
         let lost = node.submit(vec![join(1)], Duration::from_millis(1)).await;
         assert!(lost.is_err(), "{lost:?}");
     }
     log.set_fault(Fault::None);
-    assert!(matches!(node.one(join(1)).await, fate::Kind::Join(fate) if fate.active));
+    assert!(matches!(node.submit_one(join(1)).await, fate::Kind::Join(fate) if fate.active));
     assert!(
-        matches!(node.one(claim(1, 1, 100)).await, fate::Kind::Claim(fate) if fate.granted == 100)
+        matches!(node.submit_one(claim(1, 1, 100)).await, fate::Kind::Claim(fate) if fate.granted == 100)
     );
-    node.until("one start", |fold| {
+    node.wait_until("one start", |fold| {
         fold.active().len() == 1 && fold.retired().is_empty()
     })
     .await;
--- a/crates/ledger/tests/common/list.rs
+++ b/crates/ledger/tests/common/list.rs
@@ -1,10 +1,10 @@
-//! A VM list that says what a test tells it.
+//! Stub of the platform's VM list.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
 
-/// A VM list that answers with a fixed body.
+/// A VM list server that answers with a body set by the test.
 pub struct VmList {
     pub address: SocketAddr,
     state: Arc<Mutex<(String, u64)>>,
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of ledgers on one log in memory, and records to submit to them.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Runs ledgers on an in-memory log, and builds records to submit to them.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod list;
 
@@ -27,14 +27,15 @@
 pub const SECRET: &str = "a-shared-secret-of-tests";
 pub const SHARDS: u32 = 2;
 pub const BUDGET: &str = "b1";
-/// Far longer than anything here takes; a wait that ends by it has failed.
-pub const LONG: Duration = Duration::from_secs(30);
+/// Timeout far longer than any step of the tests takes; a wait that reaches it has failed.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A log in memory that counts appends and can be cut off for one user of it.
+/// Wrapper of an in-memory log for one ledger, which counts appends and can be made
+/// unreachable for this ledger only.
 pub struct CountingLog {
     pub log: Arc<MemLog>,
     pub appends: AtomicU64,
-    pub cut: std::sync::atomic::AtomicBool,
+    pub is_unreachable: std::sync::atomic::AtomicBool,
 }
 
 impl CountingLog {
@@ -42,16 +43,16 @@
         Arc::new(Self {
             log: Arc::clone(log),
             appends: AtomicU64::new(0),
-            cut: std::sync::atomic::AtomicBool::new(false),
+            is_unreachable: std::sync::atomic::AtomicBool::new(false),
         })
     }
 
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    pub fn set_unreachable(&self, unreachable: bool) {
+        self.is_unreachable.store(unreachable, Ordering::SeqCst);
     }
 
     fn check(&self) -> Result<(), LogError> {
-        if self.cut.load(Ordering::SeqCst) {
+        if self.is_unreachable.load(Ordering::SeqCst) {
             return Err(LogError::Out("cut".to_owned()));
         }
         Ok(())
@@ -80,7 +81,7 @@
     }
 }
 
-/// A running ledger with a client on it.
+/// A running ledger and a client that is connected to it.
 pub struct Node {
     pub ledger: Ledger,
     pub client: Arc<Client>,
@@ -129,11 +130,11 @@
 }
 
 pub fn spawn(settings: LedgerSettings, listener: TcpListener, log: &Arc<MemLog>) -> Node {
-    spawn_measured(settings, listener, log, Metrics::nop())
+    spawn_with_metrics(settings, listener, log, Metrics::nop())
 }
 
-/// A node that sends its metrics.
-pub fn spawn_measured(
+/// Spawns a node that sends metrics.
+pub fn spawn_with_metrics(
     settings: LedgerSettings,
     listener: TcpListener,
     log: &Arc<MemLog>,
@@ -151,14 +152,14 @@
     }
 }
 
-/// One ledger without peers.
-pub fn single(log: &Arc<MemLog>) -> Node {
+/// Spawns one ledger without peers.
+pub fn spawn_single(log: &Arc<MemLog>) -> Node {
     let (listener, _) = listener();
     spawn(settings("vm-1", &[]), listener, log)
 }
 
-/// `count` ledgers that know each other.
-pub fn fleet(count: usize, log: &Arc<MemLog>) -> Vec<Node> {
+/// Spawns `count` ledgers that are peers of each other.
+pub fn spawn_fleet(count: usize, log: &Arc<MemLog>) -> Vec<Node> {
     let bound: Vec<_> = (0..count).map(|_| listener()).collect();
     let names: Vec<_> = (0..count).map(|at| format!("vm-{at}")).collect();
     let all: Vec<(String, SocketAddr)> = names
@@ -179,8 +180,8 @@
 }
 
 impl Node {
-    pub async fn up(&self) {
-        assert!(self.client.wait_up(LONG).await, "no link");
+    pub async fn wait_up(&self) {
+        assert!(self.client.wait_up(TIMEOUT).await, "no link");
     }
 
     /// Submits records for the stream of [`BUDGET`].
@@ -199,7 +200,7 @@
         };
         let reply = self
             .client
-            .call(request::Kind::Submit(submit), LONG)
+            .call(request::Kind::Submit(submit), TIMEOUT)
             .await?;
         match reply {
             reply::Kind::Submitted(submitted) => Ok(submitted),
@@ -207,12 +208,12 @@
         }
     }
 
-    pub async fn one(&self, kind: record::Kind) -> fate::Kind {
-        let submitted = self.submit(vec![kind], LONG).await.unwrap();
+    pub async fn submit_one(&self, kind: record::Kind) -> fate::Kind {
+        let submitted = self.submit(vec![kind], TIMEOUT).await.unwrap();
         kind_of(&submitted.fates[0])
     }
 
-    /// Hands over a charge; returns once the ledger has answered `Stored`.
+    /// Sends charges; returns once the ledger has answered `Stored`.
     pub async fn settle(&self, charges: Charges) -> swiftlink_link::ReplyStream {
         let settle = Settle {
             stream: stream().to_string(),
@@ -229,7 +230,7 @@
     }
 
     /// Waits until this ledger's fold of the budget stream satisfies `check`.
-    pub async fn until(&self, what: &str, check: impl Fn(&swiftlink_budget::Fold) -> bool) {
+    pub async fn wait_until(&self, what: &str, check: impl Fn(&swiftlink_budget::Fold) -> bool) {
         let (_, shard) = self.ledger.shards().find(stream().as_str()).unwrap();
         eventually(what, || {
             let state = shard.stream.state();
@@ -238,9 +239,9 @@
         .await;
     }
 
-    /// Waits until this ledger has folded the top-up of [`declare`].
-    pub async fn topped_up(&self) {
-        self.until("top-up", |fold| fold.has_top_up(BUDGET, "t1"))
+    /// Waits until this ledger has folded the top-up that [`declare_budget`] declares.
+    pub async fn wait_top_up(&self) {
+        self.wait_until("top-up", |fold| fold.has_top_up(BUDGET, "t1"))
             .await;
     }
 
@@ -256,7 +257,7 @@
 }
 
 pub async fn eventually(what: &str, check: impl Fn() -> bool) {
-    let deadline = tokio::time::Instant::now() + LONG;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     while !check() {
         assert!(tokio::time::Instant::now() < deadline, "never came: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -313,8 +314,8 @@
     }
 }
 
-/// Declares [`BUDGET`] with one top-up, as an operator does.
-pub async fn declare(log: &MemLog, amount: u64, release: &str) {
+/// Declares [`BUDGET`] and one top-up, as an operator does.
+pub async fn declare_budget(log: &MemLog, amount: u64, release: &str) {
     let changes = vec![
         change("budget", BUDGET, &format!(r#"{{"release":"{release}"}}"#)),
         change(
@@ -326,7 +327,7 @@
     apply(log, "set-1", changes).await;
 }
 
-/// Appends a set of changes under `id`.
+/// Appends a change set with this `id` to the configuration stream.
 pub async fn apply(log: &MemLog, id: &str, changes: Vec<Change>) {
     let set = ChangeSet {
         id: id.to_owned(),
@@ -351,8 +352,8 @@
     }
 }
 
-/// The same record by the router of another VM.
-pub fn of_vm(vm: &str, mut kind: record::Kind) -> record::Kind {
+/// Changes the VM of the router that a record comes from.
+pub fn with_vm(vm: &str, mut kind: record::Kind) -> record::Kind {
     let incarnation = match &mut kind {
         record::Kind::Join(join) => &mut join.incarnation,
         record::Kind::Claim(claim) => &mut claim.incarnation,
@@ -364,8 +365,8 @@
     kind
 }
 
-/// The same claim on another budget.
-pub fn of_budget(budget: &str, mut kind: record::Kind) -> record::Kind {
+/// Changes the budget of a claim.
+pub fn with_budget(budget: &str, mut kind: record::Kind) -> record::Kind {
     let record::Kind::Claim(claim) = &mut kind else {
         panic!("not a claim: {kind:?}");
     };
--- a/crates/ledger/tests/decisions.rs
+++ b/crates/ledger/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The decisions without I/O: batching, pace, shared work, proofs, snapshots.
+//! Tests of the I/O-free parts: batching, rate limit, jittered tasks, releases, VM
+//! tracking, snapshot schedule.
 
 use std::collections::BTreeMap;
 use std::slice::from_ref;
@@ -6,15 +7,15 @@
 
 use proptest::prelude::*;
 use prost::Message;
-use swiftlink_ledger::batcher::{Batcher, Ticket};
-use swiftlink_ledger::clock::{Clock, NEVER_MS};
-use swiftlink_ledger::duty::Duty;
-use swiftlink_ledger::pacer::Pacer;
-use swiftlink_ledger::release::{Answer, Proof, Verdict, decide};
-use swiftlink_ledger::snapshots::SnapshotPlan;
+use swiftlink_ledger::batcher::{Batcher, EntryId};
+use swiftlink_ledger::clock::{Clock, UNKNOWN_AGE_MS};
+use swiftlink_ledger::jitter::JitteredTasks;
+use swiftlink_ledger::rate_limiter::RateLimiter;
+use swiftlink_ledger::release::{LedgerAnswer, Proof, Verdict, decide};
+use swiftlink_ledger::snapshots::SnapshotSchedule;
 use swiftlink_ledger::stream::Progress;
 use swiftlink_ledger::tail::Tail;
-use swiftlink_ledger::vms::{Vm, VmList, VmWatch};
+use swiftlink_ledger::vm_tracker::{Vm, VmList, VmTracker};
 use swiftlink_types::{Incarnation, MICROS_PER_MS};
 use swiftlink_wire::log::{Batch, Charge, Charges, Fate, Mark, Record, record};
 
@@ -24,14 +25,14 @@
         charges: bool,
     },
     Cancel(usize),
-    /// Append what is to be appended: does it land, is it answered?
+    /// Append the next batch: `lands` if the log takes it, `answered` if its answer arrives.
     Append {
         lands: bool,
         answered: bool,
     },
     /// Fold the next record of the log.
     Fold,
-    /// Jump to the log's end with a snapshot, seeing no fates.
+    /// Skip to the log's end by loading a snapshot, without seeing any fates.
     Jump,
 }
 
@@ -65,28 +66,28 @@
     }
 }
 
-/// A batcher on a log of its own, and what became of each entry.
+/// A batcher on a simulated log, with the outcome of each entry.
 struct Harness {
     batcher: Batcher,
     log: Vec<Batch>,
     folded: usize,
     /// Per entry: whether it holds charges, and how often it was decided.
-    entries: BTreeMap<Ticket, (bool, u32)>,
+    entries: BTreeMap<EntryId, (bool, u32)>,
 }
 
 impl Harness {
     fn step(&mut self, op: &Op) {
         match op {
             Op::Add { charges } => {
-                let ticket = self.batcher.add(records(*charges)).unwrap();
-                self.entries.insert(ticket, (*charges, 0));
+                let entry_id = self.batcher.add(records(*charges)).unwrap();
+                self.entries.insert(entry_id, (*charges, 0));
             }
             Op::Cancel(at) => {
-                let Some(ticket) = self.entries.keys().rev().nth(*at).copied() else {
+                let Some(entry_id) = self.entries.keys().rev().nth(*at).copied() else {
                     return;
                 };
-                if self.batcher.cancel(ticket) {
-                    let (charges, decided) = self.entries.remove(&ticket).unwrap();
+                if self.batcher.cancel(entry_id) {
+                    let (charges, decided) = self.entries.remove(&entry_id).unwrap();
                     assert!(!charges && decided == 0);
                 }
             }
@@ -94,28 +95,32 @@
             Op::Fold => self.fold(),
             Op::Jump => {
                 self.folded = self.log.len();
-                self.batcher.advanced(self.folded as u64);
+                self.batcher.on_advanced(self.folded as u64);
             }
         }
     }
 
     fn append(&mut self, lands: bool, answered: bool) {
-        let Some((seq, data)) = self.batcher.take(0) else {
+        let Some((seq, data)) = self.batcher.next_batch(0) else {
             return;
         };
-        assert!(self.batcher.take(0).is_none(), "two appends in flight");
+        assert!(
+            self.batcher.next_batch(0).is_none(),
+            "two appends in flight"
+        );
         let batch = Batch::decode(data).unwrap();
         assert_eq!(batch.seq, seq);
         if let Some(copy) = self.log.iter().find(|other| other.seq == seq) {
             assert_eq!(*copy, batch, "a repeated batch changed");
         }
         if !lands {
-            self.batcher.answered(seq, None);
+            self.batcher.on_append_result(seq, None);
             return;
         }
         self.log.push(batch);
         let offset = self.log.len() as u64 - 1;
-        self.batcher.answered(seq, answered.then_some(offset));
+        self.batcher
+            .on_append_result(seq, answered.then_some(offset));
     }
 
     fn fold(&mut self) {
@@ -124,12 +129,12 @@
         };
         let fates = vec![Fate::default(); batch.records.len()];
         let offset = self.folded as u64;
-        for (ticket, decided) in self.batcher.folded(batch.seq, offset, fates) {
+        for (entry_id, decided) in self.batcher.on_folded(batch.seq, offset, fates) {
             assert_eq!(decided.fates.len(), 2);
-            self.entries.get_mut(&ticket).unwrap().1 += 1;
+            self.entries.get_mut(&entry_id).unwrap().1 += 1;
         }
         self.folded += 1;
-        self.batcher.advanced(self.folded as u64);
+        self.batcher.on_advanced(self.folded as u64);
     }
 
     fn drain(&mut self) {
@@ -164,25 +169,25 @@
     }
 
     #[test]
-    fn the_pace_holds_over_any_window(
+    fn the_rate_limit_holds_over_any_window(
         rate in 1..200_u32,
         burst in 1..50_u32,
         gaps in prop::collection::vec(0..100_000_u64, 1..200),
     ) {
-        let pacer = Pacer::new(rate, burst);
+        let rate_limiter = RateLimiter::new(rate, burst);
         let mut now = 0;
         let mut slots = Vec::new();
         for gap in gaps {
             now += gap;
-            let slot = pacer.reserve(now);
+            let slot = rate_limiter.reserve(now);
             prop_assert!(slot >= now);
             slots.push(slot);
         }
         let interval = 1_000_000 / u64::from(rate);
         for (at, start) in slots.iter().enumerate() {
             let window = slots[at..].iter().take_while(|slot| **slot < start + 1_000_000);
-            let most = u64::from(burst) + 1_000_000 / interval + 1;
-            prop_assert!(window.count() as u64 <= most);
+            let max = u64::from(burst) + 1_000_000 / interval + 1;
+            prop_assert!(window.count() as u64 <= max);
         }
     }
 
@@ -204,7 +209,7 @@
 }
 
 #[test]
-fn a_full_batcher_takes_nothing() {
+fn a_full_batcher_refuses_entries() {
     let size: usize = records(true).iter().map(Message::encoded_len).sum();
     let mut batcher = Batcher::new("w", 1, size);
     batcher.add(records(true)).unwrap();
@@ -213,27 +218,29 @@
 }
 
 #[test]
-fn shared_work_is_done_by_one_of_eight_when_it_is_quick() {
-    // Each of eight looks every 100 ms; the first to do it makes it known at once.
-    let mut duties: Vec<Duty<u32>> = (0..8).map(|_| Duty::new(1_000_000, 5_000_000)).collect();
+fn one_of_eight_ledgers_does_a_quick_task() {
+    // Eight ledgers check every 100 ms; once one has done the task, all see it at once.
+    let mut ledgers: Vec<JitteredTasks<u32>> = (0..8)
+        .map(|_| JitteredTasks::new(1_000_000, 5_000_000))
+        .collect();
     let mut done = 0;
     for now in (0..3_000_000).step_by(100_000) {
-        for (at, duty) in duties.iter_mut().enumerate() {
+        for (at, tasks) in ledgers.iter_mut().enumerate() {
             let open = (done == 0).then_some(7);
             let draw = 100_000 * (at as u64 + 1) + 50_000;
-            done += duty.step(now, open, || draw).len();
+            done += tasks.take_due(now, open, || draw).len();
         }
     }
     assert_eq!(done, 1);
-    assert!(duties.iter().all(Duty::is_empty));
+    assert!(ledgers.iter().all(JitteredTasks::is_empty));
 }
 
 #[test]
-fn work_that_stays_open_is_done_again_later() {
-    let mut duty = Duty::new(1_000, 10_000);
+fn a_task_that_stays_open_is_retried() {
+    let mut tasks = JitteredTasks::new(1_000, 10_000);
     let mut times = Vec::new();
     for now in 0..40_000 {
-        if !duty.step(now, Some("x"), || 500).is_empty() {
+        if !tasks.take_due(now, Some("x"), || 500).is_empty() {
             times.push(now);
         }
     }
@@ -241,43 +248,43 @@
 }
 
 #[test]
-fn a_failed_append_saves_nothing_up() {
-    let pacer = Pacer::new(10, 10);
-    pacer.drain(5_000_000);
-    assert_eq!(pacer.reserve(5_000_000), 5_100_000);
-    assert_eq!(pacer.reserve(5_000_000), 5_200_000);
+fn a_failed_append_clears_the_burst() {
+    let rate_limiter = RateLimiter::new(10, 10);
+    rate_limiter.clear_burst(5_000_000);
+    assert_eq!(rate_limiter.reserve(5_000_000), 5_100_000);
+    assert_eq!(rate_limiter.reserve(5_000_000), 5_200_000);
 }
 
 #[test]
-fn rights_are_freed_only_with_proof_and_nothing_pending() {
-    let answer = |pending, gone| Answer {
+fn grants_are_released_only_with_proof_and_nothing_pending() {
+    let answer = |pending, gone| LedgerAnswer {
         ledger: Arc::from("l"),
         pending,
         gone,
     };
     let ledger: Arc<str> = Arc::from("l");
     let clear = answer(Some(0), false);
-    assert_eq!(decide(Proof::Bound, from_ref(&clear)), Verdict::Release);
-    assert_eq!(decide(Proof::Listed, from_ref(&clear)), Verdict::Release);
+    assert_eq!(decide(Proof::Successor, from_ref(&clear)), Verdict::Release);
+    assert_eq!(decide(Proof::Delisted, from_ref(&clear)), Verdict::Release);
     assert_eq!(decide(Proof::Declared, from_ref(&clear)), Verdict::Release);
     assert_eq!(decide(Proof::None, from_ref(&clear)), Verdict::Unproved);
     let pending = Verdict::Pending {
         ledger: Arc::clone(&ledger),
     };
-    // A VM that left the list while its ledger still answers still holds charges.
+    // A ledger whose VM left the list still holds charges as long as it answers.
     assert_eq!(
-        decide(Proof::Bound, &[clear.clone(), answer(Some(2), true)]),
+        decide(Proof::Successor, &[clear.clone(), answer(Some(2), true)]),
         pending
     );
     assert_eq!(decide(Proof::Declared, &[answer(Some(2), true)]), pending);
     let unreachable = Verdict::Unreachable { ledger };
     assert_eq!(decide(Proof::Declared, &[answer(None, false)]), unreachable);
     assert_eq!(
-        decide(Proof::Bound, &[answer(None, false), clear.clone()]),
+        decide(Proof::Successor, &[answer(None, false), clear.clone()]),
         unreachable
     );
     assert_eq!(
-        decide(Proof::Bound, &[answer(None, true), clear]),
+        decide(Proof::Successor, &[answer(None, true), clear]),
         Verdict::Release
     );
 }
@@ -293,25 +300,25 @@
             })
             .collect(),
     };
-    let mut watch = VmWatch::new(2);
-    assert!(watch.read(&list(1, &["a", "b"])));
-    assert!(!watch.is_gone("c"), "never listed");
-    assert!(watch.read(&list(2, &["a"])));
-    assert!(!watch.is_gone("b"), "absent once");
-    assert!(!watch.read(&list(3, &[])) && !watch.read(&list(1, &["a"])));
+    let mut tracker = VmTracker::new(2);
+    assert!(tracker.observe(&list(1, &["a", "b"])));
+    assert!(!tracker.is_gone("c"), "never listed");
+    assert!(tracker.observe(&list(2, &["a"])));
+    assert!(!tracker.is_gone("b"), "absent once");
+    assert!(!tracker.observe(&list(3, &[])) && !tracker.observe(&list(1, &["a"])));
     assert!(
-        !watch.is_gone("b"),
+        !tracker.is_gone("b"),
         "neither an empty nor an old list counts"
     );
-    assert!(watch.read(&list(2, &["a", "b"])));
-    assert!(watch.read(&list(2, &["a"])));
-    assert!(!watch.is_gone("b"), "absent once since it was back");
-    assert!(watch.read(&list(2, &["a"])));
-    assert!(watch.is_gone("b") && !watch.is_gone("a"));
+    assert!(tracker.observe(&list(2, &["a", "b"])));
+    assert!(tracker.observe(&list(2, &["a"])));
+    assert!(!tracker.is_gone("b"), "absent once since it was back");
+    assert!(tracker.observe(&list(2, &["a"])));
+    assert!(tracker.is_gone("b") && !tracker.is_gone("a"));
 }
 
 #[test]
-fn a_vm_is_absent_after_some_answers_without_it() {
+fn a_vm_is_absent_after_some_reads_without_it() {
     let list = |names: &[&str]| {
         let vms = names.iter().map(|name| Vm {
             name: (*name).to_owned(),
@@ -321,16 +328,16 @@
             vms: vms.collect(),
         }
     };
-    let mut watch = VmWatch::new(2);
-    assert!(!watch.is_absent("c"), "no answer says nothing");
-    watch.read(&list(&["a", "b"]));
-    watch.read(&list(&[]));
-    assert!(!watch.is_absent("c"), "one answer, and one not believed");
-    watch.read(&list(&["a"]));
-    assert!(watch.is_absent("c"), "never listed");
-    assert!(!watch.is_absent("a") && !watch.is_absent("b"));
-    watch.read(&list(&["a", "c"]));
-    assert!(watch.is_absent("b") && !watch.is_absent("c"));
+    let mut tracker = VmTracker::new(2);
+    assert!(!tracker.is_absent("c"), "absent without any read");
+    tracker.observe(&list(&["a", "b"]));
+    tracker.observe(&list(&[]));
+    assert!(!tracker.is_absent("c"), "one read accepted and one ignored");
+    tracker.observe(&list(&["a"]));
+    assert!(tracker.is_absent("c"), "never listed");
+    assert!(!tracker.is_absent("a") && !tracker.is_absent("b"));
+    tracker.observe(&list(&["a", "c"]));
+    assert!(tracker.is_absent("b") && !tracker.is_absent("c"));
 }
 
 #[test]
@@ -346,29 +353,33 @@
         gaps: 0,
     };
     let second = 1_000_000;
-    let mut plan = SnapshotPlan::new(50, 60 * second);
-    assert!(!plan.step(0, &progress(10, Some(9)), || 0));
-    assert!(plan.step(second, &progress(50, Some(9)), || 0));
+    let mut schedule = SnapshotSchedule::new(50, 60 * second);
+    assert!(!schedule.step(0, &progress(10, Some(9)), || 0));
+    assert!(schedule.step(second, &progress(50, Some(9)), || 0));
     assert!(
-        !plan.step(2 * second, &progress(60, Some(9)), || 0),
+        !schedule.step(2 * second, &progress(60, Some(9)), || 0),
         "just written"
     );
-    assert!(!plan.step(3 * second, &progress(3, Some(80)), || 0), "seen");
-    assert!(!plan.step(62 * second, &progress(0, Some(80)), || 0));
     assert!(
-        plan.step(63 * second, &progress(0, Some(80)), || 0),
+        !schedule.step(3 * second, &progress(3, Some(80)), || 0),
+        "seen"
+    );
+    assert!(!schedule.step(62 * second, &progress(0, Some(80)), || 0));
+    assert!(
+        schedule.step(63 * second, &progress(0, Some(80)), || 0),
         "old though unchanged"
     );
     let unread = Progress {
         ready: false,
         ..progress(90, None)
     };
-    assert!(!plan.step(200 * second, &unread, || 0));
+    assert!(!schedule.step(200 * second, &unread, || 0));
 }
 
-/// A clock's reading at a ledger's start says nothing of the age of a stream's records.
+/// Guards against counting a stream's age from the clock's origin: a ledger would write a
+/// snapshot at its start.
 #[test]
-fn a_stream_without_a_snapshot_gets_one_a_period_after_the_first_look() {
+fn a_stream_without_a_snapshot_gets_one_max_age_after_the_first_check() {
     let progress = Progress {
         next: 1,
         ready: true,
@@ -381,17 +392,18 @@
     };
     let second = 1_000_000;
     let start = 10_000 * second;
-    let mut plan = SnapshotPlan::new(50, 60 * second);
-    assert!(!plan.step(start, &progress, || 0));
-    assert!(!plan.step(start + 59 * second, &progress, || 0));
-    assert!(plan.step(start + 60 * second, &progress, || 0));
+    let mut schedule = SnapshotSchedule::new(50, 60 * second);
+    assert!(!schedule.step(start, &progress, || 0));
+    assert!(!schedule.step(start + 59 * second, &progress, || 0));
+    assert!(schedule.step(start + 60 * second, &progress, || 0));
 }
 
-/// A ledger that has just started must not take a peer's old knowledge for new.
+/// Guards against a clock origin of 0: the subtraction of a peer's age would saturate, and
+/// a ledger that has just started would take the peer's stale data for current.
 #[test]
-fn an_age_told_by_a_peer_reaches_back_before_the_start() {
+fn an_age_reported_by_a_peer_reaches_back_before_the_start() {
     let clock = Clock::start();
-    let known = clock.now().saturating_sub(NEVER_MS * MICROS_PER_MS);
+    let known = clock.now().saturating_sub(UNKNOWN_AGE_MS * MICROS_PER_MS);
     let age_ms = (clock.now() - known) / MICROS_PER_MS;
-    assert!(age_ms >= NEVER_MS, "{age_ms} ms");
+    assert!(age_ms >= UNKNOWN_AGE_MS, "{age_ms} ms");
 }
--- a/crates/ledger/tests/follow.rs
+++ b/crates/ledger/tests/follow.rs
@@ -1,4 +1,5 @@
-//! Following the log, peers instead of the log, and snapshots instead of old records.
+//! Ledgers follow the log, peers while the log is unreachable, and snapshots in place of
+//! trimmed records.
 
 mod common;
 
@@ -6,7 +7,8 @@
 use std::time::Duration;
 
 use common::{
-    LONG, claim, declare, eventually, fleet, join, listener, settings, single, spawn, stream,
+    TIMEOUT, claim, declare_budget, eventually, join, listener, settings, spawn, spawn_fleet,
+    spawn_single, stream,
 };
 use swiftlink_link::LinkError;
 use swiftlink_log::{Fault, MemLog};
@@ -14,44 +16,49 @@
 use swiftlink_wire::log::{Record, fate, record};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_ledger_cut_from_the_log_follows_its_peers() {
+async fn a_ledger_that_cannot_reach_the_log_follows_its_peers() {
     let log = Arc::new(MemLog::new());
-    let nodes = fleet(2, &log);
-    let cut = &nodes[1];
-    cut.log.set_cut(true);
-    declare(&log, 1_000, "proof").await;
-    nodes[0].up().await;
-    nodes[0].topped_up().await;
-    nodes[0].one(join(1)).await;
-    nodes[0].one(claim(1, 1, 100)).await;
+    let nodes = spawn_fleet(2, &log);
+    let isolated = &nodes[1];
+    isolated.log.set_unreachable(true);
+    declare_budget(&log, 1_000, "proof").await;
+    nodes[0].wait_up().await;
+    nodes[0].wait_top_up().await;
+    nodes[0].submit_one(join(1)).await;
+    nodes[0].submit_one(claim(1, 1, 100)).await;
 
-    cut.until("grant", |fold| {
-        fold.view("b1").is_some_and(|view| view.granted == 100)
+    isolated
+        .wait_until("grant", |fold| {
+            fold.view("b1").is_some_and(|view| view.granted == 100)
+        })
+        .await;
+    eventually("configuration", || {
+        isolated.ledger.config().progress().next == 1
     })
     .await;
-    eventually("configuration", || cut.ledger.config().progress().next == 1).await;
-    let before = cut.ledger.config().progress().next;
-    cut.log.set_cut(false);
-    nodes[0].one(claim(1, 2, 50)).await;
-    cut.until("grant", |fold| {
-        fold.view("b1").is_some_and(|view| view.granted == 150)
-    })
-    .await;
-    assert!(cut.ledger.config().progress().next >= before);
+    let before = isolated.ledger.config().progress().next;
+    isolated.log.set_unreachable(false);
+    nodes[0].submit_one(claim(1, 2, 50)).await;
+    isolated
+        .wait_until("grant", |fold| {
+            fold.view("b1").is_some_and(|view| view.granted == 150)
+        })
+        .await;
+    assert!(isolated.ledger.config().progress().next >= before);
     for node in nodes {
         node.stop().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_ledger_that_hears_from_nobody_says_how_old_its_knowledge_is() {
+async fn a_ledger_without_log_or_peers_reports_its_staleness() {
     let log = Arc::new(MemLog::new());
     log.set_fault(Fault::Outage);
-    let node = single(&log);
-    node.up().await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
     let pong = node
         .client
-        .call(request::Kind::Ping(Ping {}), LONG)
+        .call(request::Kind::Ping(Ping {}), TIMEOUT)
         .await
         .unwrap();
     assert!(matches!(pong, reply::Kind::Pong(pong) if pong.log_age_ms > 1_000_000));
@@ -67,15 +74,15 @@
 async fn a_new_ledger_starts_from_a_snapshot() {
     let log = Arc::new(MemLog::new());
     let (bound, _) = listener();
-    let mut often = settings("vm-1", &[]);
-    often.snapshot_every = 20;
-    let node = spawn(often, bound, &log);
-    node.up().await;
-    declare(&log, 1_000, "proof").await;
-    node.topped_up().await;
-    node.one(join(1)).await;
+    let mut frequent = settings("vm-1", &[]);
+    frequent.snapshot_every = 20;
+    let node = spawn(frequent, bound, &log);
+    node.wait_up().await;
+    declare_budget(&log, 1_000, "proof").await;
+    node.wait_top_up().await;
+    node.submit_one(join(1)).await;
     for seq in 1..=25 {
-        node.one(claim(1, seq, 2)).await;
+        node.submit_one(claim(1, seq, 2)).await;
     }
     let (_, shard) = node.ledger.shards().find(stream().as_str()).unwrap();
     eventually("a snapshot", || shard.stream.progress().snapshot.is_some()).await;
@@ -83,16 +90,16 @@
     assert!(kept > 20);
     log.trim(&stream(), kept);
 
-    let late = single(&log);
-    late.up().await;
-    late.until("grants", |fold| {
+    let late = spawn_single(&log);
+    late.wait_up().await;
+    late.wait_until("grants", |fold| {
         fold.view("b1").is_some_and(|view| view.granted == 50)
     })
     .await;
     let page = first_page(&late, stream().as_str(), 0).await;
     assert_eq!(page.first, kept);
     assert!(
-        matches!(late.one(claim(1, 26, 2)).await, fate::Kind::Claim(fate) if fate.granted == 2)
+        matches!(late.submit_one(claim(1, 26, 2)).await, fate::Kind::Claim(fate) if fate.granted == 2)
     );
     late.stop().await;
     node.stop().await;
@@ -101,10 +108,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_follower_gets_every_record_in_order() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
-    node.up().await;
-    declare(&log, 1_000, "proof").await;
-    node.topped_up().await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
+    declare_budget(&log, 1_000, "proof").await;
+    node.wait_top_up().await;
     let follow = Follow {
         stream: stream().to_string(),
         from: 0,
@@ -114,9 +121,9 @@
         .stream(request::Kind::Follow(follow))
         .await
         .unwrap();
-    node.one(join(1)).await;
+    node.submit_one(join(1)).await;
     for seq in 1..=10 {
-        node.one(claim(1, seq, 2)).await;
+        node.submit_one(claim(1, seq, 2)).await;
     }
     let mut next = 0;
     while next < log.end(&stream()) {
@@ -132,10 +139,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn records_that_are_not_for_submitting_are_refused() {
+async fn records_that_may_not_be_submitted_are_refused() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
-    node.up().await;
+    let node = spawn_single(&log);
+    node.wait_up().await;
     let other = (0..).map(|n| format!("x{n}"));
     let mut other = other.filter(|name| {
         swiftlink_budget::stream_of(swiftlink_budget::shard_of(name, common::SHARDS)) != stream()
@@ -182,7 +189,10 @@
             records,
             wait_ms: 1_000,
         };
-        let answer = node.client.call(request::Kind::Submit(submit), LONG).await;
+        let answer = node
+            .client
+            .call(request::Kind::Submit(submit), TIMEOUT)
+            .await;
         let Err(LinkError::Failed(failure)) = answer else {
             panic!("{answer:?}");
         };
--- a/crates/ledger/tests/proof.rs
+++ b/crates/ledger/tests/proof.rs
@@ -1,4 +1,4 @@
-//! What proves that a retired router is gone.
+//! Proofs that a retired router is gone.
 
 use bytes::Bytes;
 use prost::Message;
@@ -15,8 +15,8 @@
 const HERE: &str = "127.0.0.1:1";
 const ELSEWHERE: &str = "127.0.0.1:2";
 
-/// A budget stream to which records are appended.
-struct World {
+/// A budget stream with a top-up, to which records are appended.
+struct BudgetStream {
     fold: Fold,
     offset: u64,
 }
@@ -26,18 +26,18 @@
     Some(Incarnation { vm, epoch })
 }
 
-impl World {
+impl BudgetStream {
     fn new() -> Self {
-        let mut world = Self {
+        let mut stream = Self {
             fold: Fold::empty(),
             offset: 0,
         };
-        world.add(record::Kind::TopUp(TopUp {
+        stream.add(record::Kind::TopUp(TopUp {
             budget: "b".to_owned(),
             id: "t".to_owned(),
             amount: 1_000,
         }));
-        world
+        stream
     }
 
     fn add(&mut self, kind: record::Kind) {
@@ -82,47 +82,47 @@
         self.add(record::Kind::Release(Release { incarnation }));
     }
 
-    /// What proves that the first incarnation is gone.
+    /// Proof that the incarnation with epoch 1 is gone.
     fn proof(&self) -> Proof {
         let mut retired = self.fold.retired().into_iter();
         let first = retired.find(|router| router.incarnation.epoch == 1);
         let first = first.expect("it is in quarantine");
         let proof = proof_of(&first, &self.fold, &Config::default(), false);
-        let bound = proof == Proof::Bound;
+        let bound = proof == Proof::Successor;
         assert_eq!(has_successor(&first, &self.fold), bound);
         proof
     }
 }
 
-/// An incarnation in quarantine.
-fn quarantined() -> World {
-    let mut world = World::new();
-    world.join(1, HERE);
-    world.claim(1);
-    world.retire(1);
-    world
+/// A stream with a quarantined incarnation of epoch 1.
+fn quarantined() -> BudgetStream {
+    let mut stream = BudgetStream::new();
+    stream.join(1, HERE);
+    stream.claim(1);
+    stream.retire(1);
+    stream
 }
 
 #[test]
 fn a_successor_that_was_released_at_once_stays_proof() {
-    let mut world = quarantined();
-    assert_eq!(world.proof(), Proof::None);
-    world.join(2, HERE);
-    assert_eq!(world.proof(), Proof::Bound);
-    world.retire(2);
-    assert_eq!(world.proof(), Proof::Bound);
-    // It held nothing, so nothing held back its release.
-    world.release(2);
-    assert_eq!(world.proof(), Proof::Bound);
+    let mut stream = quarantined();
+    assert_eq!(stream.proof(), Proof::None);
+    stream.join(2, HERE);
+    assert_eq!(stream.proof(), Proof::Successor);
+    stream.retire(2);
+    assert_eq!(stream.proof(), Proof::Successor);
+    // The successor held no tokens, so nothing held back its release.
+    stream.release(2);
+    assert_eq!(stream.proof(), Proof::Successor);
 }
 
 #[test]
-fn a_released_successor_of_which_keys_are_known_stays_proof() {
-    let mut world = quarantined();
-    world.join(2, HERE);
-    world.claim(2);
+fn a_released_successor_with_keys_on_record_stays_proof() {
+    let mut stream = quarantined();
+    stream.join(2, HERE);
+    stream.claim(2);
     let key = RequestKey::generate(1_000);
-    world.add(record::Kind::Charges(Charges {
+    stream.add(record::Kind::Charges(Charges {
         incarnation: inc(2),
         items: vec![Charge {
             key: key.as_bytes().to_vec(),
@@ -133,25 +133,25 @@
             serial: 1,
         }],
     }));
-    world.retire(2);
-    world.release(2);
-    assert_eq!(world.proof(), Proof::Bound);
-    // Its keys are forgotten, and it with them.
-    world.add(record::Kind::Mark(Mark {
+    stream.retire(2);
+    stream.release(2);
+    assert_eq!(stream.proof(), Proof::Successor);
+    // The successor is dropped with its last key.
+    stream.add(record::Kind::Mark(Mark {
         incarnation: inc(1),
         floor_ms: 2_000,
     }));
-    assert_eq!(world.proof(), Proof::Bound);
+    assert_eq!(stream.proof(), Proof::Successor);
 }
 
 #[test]
-fn who_bound_another_address_or_came_before_proves_nothing() {
-    let mut world = quarantined();
-    world.join(2, ELSEWHERE);
-    world.retire(2);
-    world.release(2);
-    assert_eq!(world.proof(), Proof::None);
-    // A late copy of an older start's join.
-    world.join(0, HERE);
-    assert_eq!(world.proof(), Proof::None);
+fn another_address_or_an_older_incarnation_is_no_proof() {
+    let mut stream = quarantined();
+    stream.join(2, ELSEWHERE);
+    stream.retire(2);
+    stream.release(2);
+    assert_eq!(stream.proof(), Proof::None);
+    // A late copy of an older incarnation's join.
+    stream.join(0, HERE);
+    assert_eq!(stream.proof(), Proof::None);
 }
--- a/crates/ledger/tests/retirement.rs
+++ b/crates/ledger/tests/retirement.rs
@@ -1,4 +1,4 @@
-//! Rights of a VM that an operator declares gone for good.
+//! Retirement and release of routers on a VM that an operator declares gone for good.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use common::list::VmList;
 use common::{
-    LONG, Node, apply, change, charge, claim, declare, fleet, join, listener, settings, single,
-    spawn, stop_all, stream,
+    Node, TIMEOUT, apply, change, charge, claim, declare_budget, join, listener, settings, spawn,
+    spawn_fleet, spawn_single, stop_all, stream,
 };
 use prost::Message;
 use swiftlink_budget::Fold;
@@ -18,8 +18,8 @@
 use swiftlink_resource::Kind;
 use swiftlink_wire::log::{Batch, Change, Record};
 
-/// Several times the wait before a retirement or release.
-const SETTLED: Duration = Duration::from_secs(2);
+/// Several times the delay before a retirement or release.
+const RELEASE_MARGIN: Duration = Duration::from_secs(2);
 
 async fn retire(log: &MemLog, vm: &str) {
     let spec = r#"{"reason":"power supply burnt"}"#;
@@ -31,15 +31,15 @@
     .await;
 }
 
-/// Version of the VM's retirement, as `node` has it in force. A version is an offset, and
-/// a snapshot of the stream takes an offset too, so it isn't known beforehand.
+/// Version of the VM's retirement in the configuration of `node`. A version is an offset,
+/// and a snapshot of the stream takes an offset too, so it isn't known beforehand.
 fn retirement(node: &Node, vm: &str) -> Option<u64> {
     let state = node.ledger.config().state();
     let config = state.get()?.config();
     Some(config.get(Kind::Retirement, vm)?.version)
 }
 
-/// Withdraws the retirement that stands; returns once `node` has that in force.
+/// Withdraws the VM's retirement; returns once `node` has applied the change.
 async fn withdraw(log: &MemLog, node: &Node, vm: &str) {
     let version = retirement(node, vm).expect("a retirement");
     let delete = Change {
@@ -51,14 +51,14 @@
     common::eventually("withdrawal", || retirement(node, vm).is_none()).await;
 }
 
-async fn open(nodes: &[Node], log: &MemLog, release: &str) {
-    declare(log, 1_000, release).await;
+async fn join_with_grant(nodes: &[Node], log: &MemLog, release: &str) {
+    declare_budget(log, 1_000, release).await;
     for node in nodes {
-        node.up().await;
-        node.topped_up().await;
+        node.wait_up().await;
+        node.wait_top_up().await;
     }
-    nodes[0].one(join(1)).await;
-    nodes[0].one(claim(1, 1, 100)).await;
+    nodes[0].submit_one(join(1)).await;
+    nodes[0].submit_one(claim(1, 1, 100)).await;
 }
 
 fn quarantined(fold: &Fold) -> Option<u64> {
@@ -72,18 +72,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_declared_retirement_frees_rights_and_counts_charges() {
+async fn a_declared_retirement_releases_grants_and_counts_charges() {
     let log = Arc::new(MemLog::new());
-    let nodes = fleet(2, &log);
-    open(&nodes, &log, "proof").await;
+    let nodes = spawn_fleet(2, &log);
+    join_with_grant(&nodes, &log, "proof").await;
     drop(nodes[1].settle(charge(1, 1, 40)).await);
     retire(&log, "router-vm").await;
     for node in &nodes {
-        node.until("release", |fold| {
+        node.wait_until("release", |fold| {
             fold.active().is_empty() && fold.retired().is_empty()
         })
         .await;
-        node.until("totals", |fold| totals(fold) == Some((40, 960)))
+        node.wait_until("totals", |fold| totals(fold) == Some((40, 960)))
             .await;
     }
     stop_all(nodes).await;
@@ -92,23 +92,23 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn pending_charges_hold_back_a_declared_release_too() {
     let log = Arc::new(MemLog::new());
-    let nodes = fleet(2, &log);
-    open(&nodes, &log, "proof").await;
-    nodes[1].log.set_cut(true);
+    let nodes = spawn_fleet(2, &log);
+    join_with_grant(&nodes, &log, "proof").await;
+    nodes[1].log.set_unreachable(true);
     drop(nodes[1].settle(charge(1, 1, 40)).await);
-    // Also when the peer's own VM is declared gone, for as long as it answers.
+    // This holds even when the peer's own VM is declared gone, as long as the peer answers.
     retire(&log, "vm-1").await;
     retire(&log, "router-vm").await;
     nodes[0]
-        .until("retirement", |fold| fold.active().is_empty())
+        .wait_until("retirement", |fold| fold.active().is_empty())
         .await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(RELEASE_MARGIN).await;
     nodes[0]
-        .until("quarantine", |fold| quarantined(fold) == Some(100))
+        .wait_until("quarantine", |fold| quarantined(fold) == Some(100))
         .await;
-    nodes[1].log.set_cut(false);
+    nodes[1].log.set_unreachable(false);
     nodes[0]
-        .until("charge", |fold| totals(fold) == Some((40, 960)))
+        .wait_until("charge", |fold| totals(fold) == Some((40, 960)))
         .await;
     stop_all(nodes).await;
 }
@@ -116,20 +116,20 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_silent_ledger_counts_as_gone_only_when_its_vm_is_declared_gone() {
     let log = Arc::new(MemLog::new());
-    let mut nodes = fleet(2, &log);
-    open(&nodes, &log, "proof").await;
+    let mut nodes = spawn_fleet(2, &log);
+    join_with_grant(&nodes, &log, "proof").await;
     nodes.pop().unwrap().stop().await;
     retire(&log, "router-vm").await;
     nodes[0]
-        .until("retirement", |fold| fold.active().is_empty())
+        .wait_until("retirement", |fold| fold.active().is_empty())
         .await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(RELEASE_MARGIN).await;
     nodes[0]
-        .until("quarantine", |fold| quarantined(fold) == Some(100))
+        .wait_until("quarantine", |fold| quarantined(fold) == Some(100))
         .await;
     retire(&log, "vm-1").await;
     nodes[0]
-        .until("release", |fold| totals(fold) == Some((0, 1_000)))
+        .wait_until("release", |fold| totals(fold) == Some((0, 1_000)))
         .await;
     stop_all(nodes).await;
 }
@@ -137,14 +137,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn joins_on_a_retired_vm_are_refused_until_it_is_withdrawn() {
     let log = Arc::new(MemLog::new());
-    let node = single(&log);
+    let node = spawn_single(&log);
     let nodes = [node];
-    open(&nodes, &log, "proof").await;
+    join_with_grant(&nodes, &log, "proof").await;
     let [node] = nodes;
     retire(&log, "router-vm").await;
-    node.until("release", |fold| totals(fold) == Some((0, 1_000)))
+    node.wait_until("release", |fold| totals(fold) == Some((0, 1_000)))
         .await;
-    let refused = node.submit(vec![join(2)], LONG).await;
+    let refused = node.submit(vec![join(2)], TIMEOUT).await;
     let Err(LinkError::Failed(failure)) = refused else {
         panic!("joined: {refused:?}");
     };
@@ -152,7 +152,7 @@
         failure.detail,
         "VM router-vm is declared gone for good: delete retirement/router-vm to use it again"
     );
-    // One that came by a ledger which had not read of it is retired and released.
+    // A join through a ledger that hasn't read the retirement yet is retired and released.
     let record = Record {
         kind: Some(join(3)),
     };
@@ -167,16 +167,17 @@
     let offset = log.append(&stream(), data).await.unwrap();
     let (_, shard) = node.ledger.shards().find(stream().as_str()).unwrap();
     common::eventually("join", || shard.stream.next() > offset).await;
-    node.until("release", |fold| {
+    node.wait_until("release", |fold| {
         fold.active().is_empty() && fold.retired().is_empty()
     })
     .await;
 
     withdraw(&log, &node, "router-vm").await;
-    node.one(join(4)).await;
-    node.one(claim(4, 1, 10)).await;
-    tokio::time::sleep(SETTLED).await;
-    node.until("active", |fold| fold.active().len() == 1).await;
+    node.submit_one(join(4)).await;
+    node.submit_one(claim(4, 1, 10)).await;
+    tokio::time::sleep(RELEASE_MARGIN).await;
+    node.wait_until("active", |fold| fold.active().len() == 1)
+        .await;
     node.stop().await;
 }
 
@@ -185,25 +186,25 @@
     let log = Arc::new(MemLog::new());
     let list = VmList::serve(r#"{"version":1,"vms":[{"name":"vm-0"},{"name":"router-vm"}]}"#);
     let (bound, _) = listener();
-    // A peer that can't be asked until later holds back the release.
+    // A peer that isn't reachable yet holds back the release.
     let (late, address) = listener();
     let mut with_list = settings("vm-0", &[("vm-1".to_owned(), address)]);
     with_list.vms = Some(list.address);
     let nodes = [spawn(with_list, bound, &log)];
-    open(&nodes, &log, "listed").await;
+    join_with_grant(&nodes, &log, "listed").await;
     let [node] = nodes;
     retire(&log, "router-vm").await;
-    node.until("retirement", |fold| fold.active().is_empty())
+    node.wait_until("retirement", |fold| fold.active().is_empty())
         .await;
     withdraw(&log, &node, "router-vm").await;
     let peer = spawn(settings("vm-1", &[]), late, &log);
-    peer.up().await;
-    tokio::time::sleep(SETTLED).await;
-    node.until("quarantine", |fold| quarantined(fold) == Some(100))
+    peer.wait_up().await;
+    tokio::time::sleep(RELEASE_MARGIN).await;
+    node.wait_until("quarantine", |fold| quarantined(fold) == Some(100))
         .await;
-    // The list's own word still counts, by the budget's rule.
+    // The VM list still counts as proof, as the budget's release rule says.
     list.set(r#"{"version":2,"vms":[{"name":"vm-0"}]}"#);
-    node.until("release", |fold| quarantined(fold) == Some(0))
+    node.wait_until("release", |fold| quarantined(fold) == Some(0))
         .await;
     stop_all(vec![node, peer]).await;
 }
