--- a/crates/admission/src/baseline.rs
+++ b/crates/admission/src/baseline.rs
@@ -1,22 +1,22 @@
-//! Simple sizing policies to compare with.
+//! Baseline sizing policies, for comparisons with [`DemandSizer`](crate::DemandSizer).
 
 use std::time::Duration;
 
 use swiftlink_types::{Micros, Tokens};
 
 use crate::grant::Demand;
-use crate::sizer::{ClaimOutcome, ClaimSize, Pause, Sizing, Waiting};
+use crate::sizer::{Backoff, ClaimOutcome, ClaimSize, Sizing, Waiting};
 
 const RETRY_BASE: Duration = Duration::from_millis(20);
 const RETRY_MAX: Duration = Duration::from_secs(2);
 
-/// Splits all that was ever paid in evenly over a fixed number of routers.
+/// Splits everything that was ever paid in evenly over a fixed number of routers.
 #[derive(Debug)]
 pub struct EvenSplit {
     routers: u32,
     topped_up: Tokens,
     granted: Tokens,
-    pause: Pause,
+    backoff: Backoff,
 }
 
 impl EvenSplit {
@@ -27,7 +27,7 @@
             routers: routers.max(1),
             topped_up: 0,
             granted: 0,
-            pause: Pause::new(RETRY_BASE, RETRY_MAX),
+            backoff: Backoff::new(RETRY_BASE, RETRY_MAX),
         }
     }
 }
@@ -41,11 +41,11 @@
 
     fn on_claimed(&mut self, now: Micros, outcome: &ClaimOutcome) {
         self.granted += outcome.granted;
-        self.pause.note(now, outcome);
+        self.backoff.on_claimed(now, outcome);
     }
 
     fn on_failed(&mut self, now: Micros) {
-        self.pause.extend(now);
+        self.backoff.extend(now);
     }
 
     fn on_budget(&mut self, _now: Micros, topped_up: Tokens, _free: Tokens, _sharers: u32) {
@@ -55,10 +55,10 @@
     fn claim(&mut self, now: Micros, _available: Tokens, _waiting: Waiting) -> Option<ClaimSize> {
         let share = self.topped_up / Tokens::from(self.routers);
         let want = share.saturating_sub(self.granted);
-        if want == 0 || !self.pause.is_over(now) {
+        if want == 0 || !self.backoff.is_over(now) {
             return None;
         }
-        // The log may grant a part of it; the next claim asks for the rest.
+        // The log may grant only a part of it; the next claim asks for the rest.
         Some(ClaimSize { need: 1, want })
     }
 
@@ -67,11 +67,11 @@
     }
 }
 
-/// Claims a chunk of one size whenever less than half of one is left.
+/// Claims a chunk of a fixed size whenever less than half a chunk is left.
 #[derive(Debug)]
 pub struct FixedChunk {
     chunk: Tokens,
-    pause: Pause,
+    backoff: Backoff,
 }
 
 impl FixedChunk {
@@ -80,7 +80,7 @@
     pub fn new(chunk: Tokens) -> Self {
         Self {
             chunk: chunk.max(1),
-            pause: Pause::new(RETRY_BASE, RETRY_MAX),
+            backoff: Backoff::new(RETRY_BASE, RETRY_MAX),
         }
     }
 }
@@ -93,22 +93,22 @@
     fn observe(&mut self, _now: Micros, _demand: Demand) {}
 
     fn on_claimed(&mut self, now: Micros, outcome: &ClaimOutcome) {
-        self.pause.note(now, outcome);
+        self.backoff.on_claimed(now, outcome);
     }
 
     fn on_failed(&mut self, now: Micros) {
-        self.pause.extend(now);
+        self.backoff.extend(now);
     }
 
     fn on_budget(&mut self, _now: Micros, _topped_up: Tokens, _free: Tokens, _sharers: u32) {}
 
     fn claim(&mut self, now: Micros, available: Tokens, waiting: Waiting) -> Option<ClaimSize> {
-        let is_short = waiting.least > available;
+        let is_short = waiting.min_cost > available;
         let is_low = available < self.chunk / 2;
-        if !self.pause.is_over(now) || !(is_short || is_low) {
+        if !self.backoff.is_over(now) || !(is_short || is_low) {
             return None;
         }
-        let need = waiting.least.saturating_sub(available).max(1);
+        let need = waiting.min_cost.saturating_sub(available).max(1);
         let want = self.chunk.max(need);
         Some(ClaimSize { need, want })
     }
--- a/crates/admission/src/grant.rs
+++ b/crates/admission/src/grant.rs
@@ -1,16 +1,16 @@
-//! A router's rights on one budget.
+//! A router's quota on one budget.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 use swiftlink_types::Tokens;
 
-/// Rights of one router on one budget, without a lock.
+/// A router's quota on one budget, kept in atomic counters.
 ///
-/// At rest `granted = available + reserved + charged + returned`. Tokens leave
-/// `available` only by a compare-and-swap that checks the amount, so it never goes
-/// below zero and no token is handed out twice. The other counters follow with
-/// relaxed stores: they are exact when nothing is in progress.
+/// When no operation is in progress, `granted = available + reserved + charged + returned`. Tokens
+/// leave `available` only by a compare-and-swap that checks the amount, so it never goes below zero
+/// and no token is handed out twice. The other counters follow with relaxed operations: they are
+/// exact only when nothing is in progress.
 #[derive(Debug, Default)]
 pub struct Grant {
     available: AtomicU64,
@@ -29,39 +29,41 @@
 pub struct GrantCounters {
     /// Free for the next request.
     pub available: Tokens,
-    /// Held by requests in progress.
+    /// Reserved by requests in progress.
     pub reserved: Tokens,
-    /// Charged since the start.
+    /// Charged since the grant was created.
     pub charged: Tokens,
-    /// Granted by the log since the start.
+    /// Granted by the log since the grant was created.
     pub granted: Tokens,
-    /// Taken for returns since the start.
+    /// Taken for returns to the budget since the grant was created.
     pub returned: Tokens,
 }
 
-/// Demand on a [`Grant`] since the start; the sizer takes differences.
+/// Demand on a [`Grant`] since it was created; the sizer uses the differences.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Tokens reserved, ever.
+    /// Tokens ever reserved.
     pub taken: Tokens,
-    /// Tokens handed back unspent by settled reservations.
+    /// Tokens that settled reservations left unspent.
     pub unspent: Tokens,
-    /// Tokens that found no rights here and were reserved elsewhere, or not at all.
+    /// Tokens for which this router had no quota; they were reserved at another router or not at
+    /// all.
     pub missed: Tokens,
-    /// Requests that asked for rights here: reservations and misses.
+    /// Requests that asked for quota here, whether they got a reservation or not.
     pub requests: u64,
 }
 
 impl Grant {
-    /// A grant without rights.
+    /// A grant without quota.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes `cost` tokens for a request, or nothing.
+    /// Reserves `cost` tokens for a request. Returns `None`, with nothing reserved, if fewer are
+    /// available.
     ///
-    /// The amount must come back through [`Self::settle`], once.
+    /// The amount must be passed to [`Self::settle`], once.
     #[must_use]
     pub fn reserve(&self, cost: Tokens) -> Option<Tokens> {
         self.available
@@ -73,7 +75,7 @@
         Some(cost)
     }
 
-    /// Like [`Self::reserve`], guarded against a request that ends on an early path.
+    /// Like [`Self::reserve`], but returns a guard, for requests that may end on an early path.
     #[must_use]
     pub fn hold(self: &Arc<Self>, cost: Tokens) -> Option<Reservation> {
         let amount = self.reserve(cost)?;
@@ -84,18 +86,18 @@
         })
     }
 
-    /// Notes that a request of `cost` found no rights here and went elsewhere or was
-    /// refused, so that the sizer sees the demand. Once for each request; one that
-    /// waits and then reserves is no miss.
+    /// Records that a request of `cost` found no quota here and was relayed or refused, so that the
+    /// sizer sees its demand. Call it once per request; a request that waits and then reserves is
+    /// no miss.
     pub fn miss(&self, cost: Tokens) {
         self.missed.fetch_add(cost, Relaxed);
         self.requests.fetch_add(1, Relaxed);
     }
 
-    /// Ends a reservation: `charged` tokens are spent and the rest is free again.
+    /// Ends a reservation: `charged` tokens are spent and the rest is available again.
     ///
-    /// The charge is limited to what was reserved, since no more was held; the
-    /// amount actually charged is the answer.
+    /// The charge is limited to `reserved`, since no more was held. Returns the amount actually
+    /// charged.
     pub fn settle(&self, reserved: Tokens, charged: Tokens) -> Tokens {
         let charged = charged.min(reserved);
         let rest = reserved - charged;
@@ -106,16 +108,16 @@
         charged
     }
 
-    /// Adds rights that the log has granted.
+    /// Adds quota that the log has granted.
     pub fn credit(&self, granted: Tokens) {
         self.granted.fetch_add(granted, Relaxed);
         self.available.fetch_add(granted, Relaxed);
     }
 
-    /// Takes up to `amount` available tokens for a return to the budget.
+    /// Takes up to `amount` available tokens to return them to the budget.
     ///
-    /// The answer is the amount taken. It is out of use at once, whatever becomes
-    /// of the return; [`GrantCounters::returned`] is the total to put on the log.
+    /// Returns the amount taken. It is out of use at once, whether or not the return succeeds;
+    /// [`GrantCounters::returned`] is the total to write to the log.
     pub fn shrink(&self, amount: Tokens) -> Tokens {
         let mut taken = 0;
         let update = |free: Tokens| {
@@ -135,7 +137,7 @@
         self.available.load(Relaxed)
     }
 
-    /// All counters; exact when nothing is in progress.
+    /// All counters; exact when no operation is in progress.
     #[must_use]
     pub fn counters(&self) -> GrantCounters {
         GrantCounters {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Demand since the start.
+    /// Demand since the grant was created.
     #[must_use]
     pub fn demand(&self) -> Demand {
         Demand {
@@ -159,11 +161,11 @@
     }
 }
 
-/// Tokens held for one request.
+/// Tokens reserved for one request.
 ///
-/// Dropped before [`Self::dispatch`], it frees the tokens: nothing ran. Dropped
-/// after it without [`Self::settle`], the tokens stay reserved: what ran is not
-/// known, and tokens that may have been run must not be handed out again.
+/// Dropped before [`Self::dispatch`], it frees the tokens, since nothing ran. Dropped after
+/// `dispatch` and without [`Self::settle`], it leaves the tokens reserved: what ran is unknown, and
+/// tokens that may have been used must not be handed out again.
 #[derive(Debug)]
 pub struct Reservation {
     grant: Arc<Grant>,
@@ -172,23 +174,23 @@
 }
 
 impl Reservation {
-    /// Tokens held.
+    /// Tokens reserved.
     #[must_use]
     pub fn amount(&self) -> Tokens {
         self.amount
     }
 
-    /// From now on a backend server may run the request.
+    /// Marks the request as dispatched: from now on a backend server may run it.
     pub fn dispatch(&mut self) {
         self.dispatched = true;
     }
 
-    /// The dispatch certainly did not reach a backend server.
+    /// Undoes [`Self::dispatch`], when the request certainly did not reach a backend server.
     pub fn recall(&mut self) {
         self.dispatched = false;
     }
 
-    /// Ends the reservation; the answer is the amount actually charged.
+    /// Ends the reservation and returns the amount actually charged.
     pub fn settle(mut self, charged: Tokens) -> Tokens {
         let reserved = std::mem::take(&mut self.amount);
         self.grant.settle(reserved, charged)
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,33 +1,33 @@
 //! Grant accounting, grant sizing, priority queue and retry-after estimates.
 //!
-//! Nothing here does I/O: time, demand and the fates of claims are arguments.
+//! Nothing here does I/O: time, demand and the outcomes of claims are arguments.
 //!
-//! * A [`Grant`] holds a router's rights on one budget; reserving and settling are
-//!   atomic operations without a lock.
-//! * A [`Sizing`] policy decides when to claim more rights, how many, and when to
-//!   return some. [`shortfall`] decides what a request does that finds none.
-//! * A [`Queue`] stands before the dispatch slots: weighted by priority class,
-//!   bounded, aware of deadlines, and with an honest time to come back.
-//! * A [`Limiter`] keeps the number of slots where the backend servers are busy but
-//!   not queueing.
+//! * A [`Grant`] holds a router's quota on one budget; reserving and settling are
+//!   lock-free atomic operations.
+//! * A [`Sizing`] policy decides when to claim more quota, how much, and when to
+//!   return some. [`shortfall`] decides what to do with a request that finds too little.
+//! * A [`Queue`] stands before the dispatch slots. It is bounded, weighted by priority
+//!   class and aware of deadlines, and it keeps capacity for the retry times it gives out.
+//! * A [`Limiter`] sets the number of slots so that the backend servers are busy but
+//!   requests don't queue there.
 
 mod baseline;
-mod book;
+mod class_queue;
 mod grant;
-mod lane;
 mod limiter;
 mod queue;
 mod rate;
+mod retry;
 mod service;
 mod shortfall;
 mod sizer;
 
 pub use baseline::{EvenSplit, FixedChunk};
-pub use book::{Appointments, BookPolicy};
 pub use grant::{Demand, Grant, GrantCounters, Reservation};
 pub use limiter::{Limiter, LimiterPolicy};
-pub use queue::{ClassSpec, Entry, GivenUp, Queue, QueuePolicy, Ticket};
+pub use queue::{ClassSpec, Entry, ExpiredEntry, Queue, QueuePolicy, Ticket};
 pub use rate::Ewma;
-pub use service::{RetryAfter, ServiceRate};
-pub use shortfall::{Holding, Shortfall, Step, shortfall};
+pub use retry::{RetryPolicy, RetrySchedule};
+pub use service::{ServiceRate, WaitPredictor};
+pub use shortfall::{HolderState, Shortfall, ShortfallAction, shortfall};
 pub use sizer::{ClaimOutcome, ClaimSize, DemandSizer, SizerPolicy, Sizing, Waiting};
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -1,4 +1,4 @@
-//! How many requests a router keeps at the backend servers of a pool.
+//! Concurrency limit: how many requests a router keeps at the backend servers of a pool.
 
 use swiftlink_types::Micros;
 
@@ -7,12 +7,12 @@
 /// Settings of a [`Limiter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimiterPolicy {
-    /// Least slots.
+    /// Smallest number of slots.
     pub min: usize,
-    /// Most slots: those of all servers of the pool.
+    /// Largest number of slots: those of all servers of the pool.
     pub max: usize,
-    /// The time to the first token may grow to this multiple of its floor before
-    /// slots are taken away.
+    /// The time to first token may grow to this multiple of its baseline before the limit is
+    /// reduced.
     pub tolerance: f64,
 }
 
@@ -26,59 +26,59 @@
     }
 }
 
-/// Adapts the number of slots to the time to the first token.
+/// Adapts the number of slots to the time to first token.
 ///
-/// Several routers share the servers without talking to each other. Each keeps its
-/// own limit: while the time stays near its floor the limit grows by about its
-/// square root each round; once requests queue at the servers it shrinks in
-/// proportion. So work waits in the routers' queues, where classes and deadlines
-/// count, and not in the engines'.
+/// Several routers share the servers without coordination, so each keeps its own limit. While the
+/// time to first token stays near its baseline, the limit moves in each round towards a goal that
+/// is higher by its square root; once requests queue at the servers, the limit shrinks in
+/// proportion. So work waits in the queues of the routers, which apply classes and deadlines, and
+/// not in those of the engines.
 #[derive(Debug)]
 pub struct Limiter {
     policy: LimiterPolicy,
     limit: f64,
-    floor: Option<f64>,
+    baseline: Option<f64>,
     recent: Mean,
     samples: u32,
 }
 
 /// Samples in one round of adaptation.
-const ROUND: u32 = 16;
+const ROUND_SAMPLES: u32 = 16;
 /// Weight of a new sample in the recent mean.
 const RECENT_GAIN: f64 = 0.15;
-/// Upward drift of the floor per round, so that it follows a lasting change.
-const FLOOR_DRIFT: f64 = 1.002;
-/// Weight of each round's result.
+/// Growth of the baseline per round, so that it follows a lasting change.
+const BASELINE_GROWTH: f64 = 1.002;
+/// Weight of the new goal in each round.
 const ROUND_GAIN: f64 = 0.3;
-/// Strongest cut in one round.
+/// Largest reduction in one round.
 const MIN_GRADIENT: f64 = 0.5;
 
 impl Limiter {
-    /// A limiter that starts at the policy's most.
+    /// A limiter that starts at the policy's maximum.
     #[must_use]
     pub fn new(policy: LimiterPolicy) -> Self {
         Self {
             policy,
             limit: policy.max as f64,
-            floor: None,
+            baseline: None,
             recent: Mean::new(RECENT_GAIN),
             samples: 0,
         }
     }
 
-    /// The number of slots now.
+    /// The current number of slots.
     #[must_use]
     pub fn limit(&self) -> usize {
         let limit = self.limit as usize;
-        limit.clamp(self.least(), self.policy.max)
+        limit.clamp(self.min_limit(), self.policy.max)
     }
 
-    /// The least limit; a pool may have fewer slots than the policy's least.
-    fn least(&self) -> usize {
+    /// The lowest limit; a pool may have fewer slots than the policy's minimum.
+    fn min_limit(&self) -> usize {
         self.policy.min.min(self.policy.max)
     }
 
-    /// The pool's servers changed: `max` slots in all.
+    /// Sets the number of slots of all servers of the pool, after the servers changed.
     pub fn set_max(&mut self, max: usize) {
         let grown = max > self.policy.max;
         self.policy.max = max;
@@ -88,37 +88,37 @@
         self.limit = self.limit.min(max as f64);
     }
 
-    /// Takes the time from dispatch to the first token (µs) of a request that ran
-    /// while `in_flight` were out.
+    /// Takes the time from dispatch to the first token (µs) of a request that ran while `in_flight`
+    /// requests were dispatched.
     pub fn on_first_token(&mut self, time: Micros, in_flight: usize) {
         let time = time.max(1) as f64;
         self.recent.add(time);
-        let floor = self.floor.get_or_insert(time);
-        *floor = floor.min(time);
+        let baseline = self.baseline.get_or_insert(time);
+        *baseline = baseline.min(time);
         self.samples += 1;
-        if self.samples < ROUND {
+        if self.samples < ROUND_SAMPLES {
             return;
         }
         self.samples = 0;
-        *floor *= FLOOR_DRIFT;
-        let floor = *floor;
-        self.adapt(floor, in_flight);
+        *baseline *= BASELINE_GROWTH;
+        let baseline = *baseline;
+        self.adapt(baseline, in_flight);
     }
 
-    /// A server refused work because it is full.
+    /// A server refused a request because it is full.
     pub fn on_full(&mut self) {
-        self.limit = (self.limit * 0.9).max(self.least() as f64);
+        self.limit = (self.limit * 0.9).max(self.min_limit() as f64);
     }
 
-    fn adapt(&mut self, floor: f64, in_flight: usize) {
-        let recent = self.recent.get().unwrap_or(floor);
-        let gradient = (self.policy.tolerance * floor / recent).clamp(MIN_GRADIENT, 1.0);
-        // A limit that isn't reached says nothing when times are good.
+    fn adapt(&mut self, baseline: f64, in_flight: usize) {
+        let recent = self.recent.get().unwrap_or(baseline);
+        let gradient = (self.policy.tolerance * baseline / recent).clamp(MIN_GRADIENT, 1.0);
+        // While the limit isn't reached, a short time to first token is no reason to raise it.
         if gradient >= 1.0 && (in_flight as f64) < self.limit / 2.0 {
             return;
         }
         let goal = self.limit * gradient + self.limit.sqrt();
-        let moved = self.limit + ROUND_GAIN * (goal - self.limit);
-        self.limit = moved.clamp(self.least() as f64, self.policy.max as f64);
+        let next = self.limit + ROUND_GAIN * (goal - self.limit);
+        self.limit = next.clamp(self.min_limit() as f64, self.policy.max as f64);
     }
 }
--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -7,54 +7,54 @@
 /// Microseconds in a second, for rates.
 pub(crate) const MICROS_PER_SEC: f64 = 1e6;
 
-/// An amount per second, averaged with weights that fall off by e each horizon.
+/// An amount per second, averaged with weights that fall by a factor of e per horizon.
 #[derive(Clone, Copy, Debug)]
 pub struct Ewma {
     horizon: f64,
     rate: f64,
-    since: Option<Micros>,
-    start: Option<Micros>,
+    last_update: Option<Micros>,
+    started: Option<Micros>,
 }
 
 impl Ewma {
-    /// An average over about `horizon`, empty.
+    /// An empty average over about `horizon`.
     #[must_use]
     pub fn new(horizon: Duration) -> Self {
         Self {
             horizon: horizon.as_secs_f64().max(1e-3),
             rate: 0.0,
-            since: None,
-            start: None,
+            last_update: None,
+            started: None,
         }
     }
 
-    /// Adds `amount` seen since the last call.
+    /// Adds `amount`, the amount since the last call.
     pub fn add(&mut self, now: Micros, amount: f64) {
-        let start = *self.start.get_or_insert(now);
-        let Some(since) = self.since.replace(now) else {
+        let started = *self.started.get_or_insert(now);
+        let Some(last_update) = self.last_update.replace(now) else {
             self.rate = amount / self.horizon;
             return;
         };
-        let step = now.saturating_sub(since) as f64 / MICROS_PER_SEC;
+        let step = now.saturating_sub(last_update) as f64 / MICROS_PER_SEC;
         self.rate = self.rate * (-step / self.horizon).exp() + amount / self.horizon;
-        debug_assert!(start <= now || step == 0.0, "time goes forward");
+        debug_assert!(started <= now || step == 0.0, "time goes forward");
     }
 
-    /// Amount per second at `now`; a young average is not held down by the time
-    /// before its start.
+    /// Amount per second at `now`, corrected for the time before the first sample, which would
+    /// otherwise lower a young average.
     #[must_use]
     pub fn per_sec(&self, now: Micros) -> f64 {
-        let (Some(start), Some(since)) = (self.start, self.since) else {
+        let (Some(started), Some(last_update)) = (self.started, self.last_update) else {
             return 0.0;
         };
-        let step = now.saturating_sub(since) as f64 / MICROS_PER_SEC;
-        let age = now.saturating_sub(start) as f64 / MICROS_PER_SEC;
-        let seen = 1.0 - (-(age.max(0.25 * self.horizon)) / self.horizon).exp();
-        self.rate * (-step / self.horizon).exp() / seen
+        let step = now.saturating_sub(last_update) as f64 / MICROS_PER_SEC;
+        let age = now.saturating_sub(started) as f64 / MICROS_PER_SEC;
+        let coverage = 1.0 - (-(age.max(0.25 * self.horizon)) / self.horizon).exp();
+        self.rate * (-step / self.horizon).exp() / coverage
     }
 }
 
-/// A running mean with the weight `gain` for each new value.
+/// An exponentially weighted mean that gives each new value the weight `gain`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Mean {
     gain: f64,
--- a/crates/admission/src/service.rs
+++ b/crates/admission/src/service.rs
@@ -1,4 +1,4 @@
-//! Measured service rate, and the estimates made from it.
+//! Measured service rate, and wait estimates from it.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 
 /// Weight of a new service time in the mean.
 const SERVICE_GAIN: f64 = 1.0 / 32.0;
-/// Weight of a new comparison of actual and predicted wait.
+/// Weight of a new ratio of actual to predicted wait.
 const BIAS_GAIN: f64 = 1.0 / 16.0;
-/// Limits of the correction, so that a few odd waits don't stop admission.
+/// Bounds of the correction, so that a few outliers don't stop admission.
 const BIAS_RANGE: (f64, f64) = (0.5, 4.0);
 
-/// Service rate of a number of slots, from the service times seen.
+/// Service rate of a number of slots, from measured service times.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRate {
-    first: Micros,
+    initial: Micros,
     time: Mean,
 }
 
 impl ServiceRate {
-    /// A rate that takes `first` for the service time until one is seen.
+    /// A rate that assumes the service time `initial` until one is measured.
     #[must_use]
-    pub fn new(first: Duration) -> Self {
+    pub fn new(initial: Duration) -> Self {
         Self {
-            first: first.as_micros().max(1) as Micros,
+            initial: initial.as_micros().max(1) as Micros,
             time: Mean::new(SERVICE_GAIN),
         }
     }
@@ -38,7 +38,7 @@
     /// Mean service time.
     #[must_use]
     pub fn time(&self) -> Micros {
-        self.time.get().map_or(self.first, |time| time as Micros)
+        self.time.get().map_or(self.initial, |time| time as Micros)
     }
 
     /// Requests per second that `slots` serve.
@@ -48,13 +48,13 @@
     }
 }
 
-/// Corrects one class's predicted waits by those that were seen.
+/// Predicts the waits of one class, corrected by the waits that were measured.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryAfter {
+pub struct WaitPredictor {
     bias: Mean,
 }
 
-impl Default for RetryAfter {
+impl Default for WaitPredictor {
     fn default() -> Self {
         Self {
             bias: Mean::new(BIAS_GAIN),
@@ -62,8 +62,8 @@
     }
 }
 
-impl RetryAfter {
-    /// Takes a wait that was predicted and the one that came.
+impl WaitPredictor {
+    /// Takes a predicted wait and the actual one.
     pub fn learn(&mut self, predicted: Micros, actual: Micros) {
         if predicted == 0 {
             return;
@@ -72,7 +72,7 @@
         self.bias.add(ratio.clamp(BIAS_RANGE.0, BIAS_RANGE.1));
     }
 
-    /// The wait until `places` have been served at `rate` per second.
+    /// The predicted wait until `places` entries have been served at `rate` per second.
     #[must_use]
     pub fn wait(&self, places: f64, rate: f64) -> Micros {
         let bias = self.bias.get().unwrap_or(1.0);
--- a/crates/admission/src/shortfall.rs
+++ b/crates/admission/src/shortfall.rs
@@ -1,4 +1,4 @@
-//! What a request does that finds no local rights.
+//! What to do with a request that finds too little local quota.
 
 use std::time::Duration;
 
@@ -6,98 +6,98 @@
 
 use crate::sizer::micros;
 
-/// A holder is asked only when it held this many times the cost: what is known of
-/// it is old, and a relay that finds nothing has cost a hop.
+/// A request is relayed to a holder only if the holder had this many times the cost: that figure is
+/// old by the time it is used, and a relay to a holder without quota costs a hop.
 const HOLDER_MARGIN: Tokens = 2;
 
-/// Another router that holds rights on the budget.
+/// Another router that holds quota on the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holding {
-    /// Rights that it held, as last heard.
+pub struct HolderState {
+    /// Tokens that it held at the last report.
     pub held: Tokens,
     /// Time that a relay to it is expected to add.
-    pub detour: Duration,
+    pub relay_time: Duration,
     /// Whether it can be reached.
-    pub is_up: bool,
+    pub is_reachable: bool,
 }
 
-/// What is known when a request finds no local rights.
+/// What is known when a request finds too little local quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortfall<'a> {
-    /// Cost bound of the request.
+    /// Upper bound of the request's cost.
     pub cost: Tokens,
-    /// The time now.
+    /// The current time.
     pub now: Micros,
     /// Latest useful time to dispatch the request.
     pub deadline: Micros,
-    /// Whether the log answered lately.
-    pub has_log: bool,
+    /// Whether the log answered recently.
+    pub is_log_up: bool,
     /// Expected time until the answer to a claim.
     pub claim_time: Duration,
-    /// Tokens free in the budget, as last heard; `None` before any news.
+    /// Tokens free in the budget at the last report; `None` before the first.
     pub free: Option<Tokens>,
     /// Tokens that other routers hold, or that are in quarantine.
-    pub elsewhere: Tokens,
+    pub held_elsewhere: Tokens,
     /// Other holders; empty when the request was already relayed once.
-    pub holders: &'a [Holding],
+    pub holders: &'a [HolderState],
 }
 
-/// What the request does.
+/// What to do with the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ShortfallAction {
     /// Wait for a claim.
     Wait,
-    /// Go to the holder with this index.
+    /// Relay the request to the holder with this index.
     Relay(usize),
-    /// End at once.
+    /// Refuse it at once.
     Refuse(Refusal),
 }
 
-/// Decides between a claim, a relay and a refusal: the soonest that is expected to
+/// Decides between a claim, a relay and a refusal: takes the fastest option that is expected to
 /// succeed before the deadline.
 #[must_use]
-pub fn shortfall(case: &Shortfall<'_>) -> Step {
+pub fn shortfall(case: &Shortfall<'_>) -> ShortfallAction {
     let claim = claim_time(case);
-    let relay = nearest(case);
+    let relay = fastest_holder(case);
     match (claim, relay) {
-        (Some(claim), Some((_, detour))) if claim <= detour => Step::Wait,
-        (_, Some((index, _))) => Step::Relay(index),
-        (Some(_), None) => Step::Wait,
-        (None, None) => Step::Refuse(refuse(case)),
+        (Some(claim), Some((_, relay_time))) if claim <= relay_time => ShortfallAction::Wait,
+        (_, Some((index, _))) => ShortfallAction::Relay(index),
+        (Some(_), None) => ShortfallAction::Wait,
+        (None, None) => ShortfallAction::Refuse(refuse(case)),
     }
 }
 
-/// Expected time of a claim, if it can bring the rights in time.
+/// Expected time of a claim, if it can bring the quota before the deadline.
 fn claim_time(case: &Shortfall<'_>) -> Option<Duration> {
-    let may_bring = case.free.is_none_or(|free| free >= case.cost);
-    let is_early = case.now.saturating_add(micros(case.claim_time)) <= case.deadline;
-    (case.has_log && may_bring && is_early).then_some(case.claim_time)
+    let may_grant = case.free.is_none_or(|free| free >= case.cost);
+    let is_in_time = case.now.saturating_add(micros(case.claim_time)) <= case.deadline;
+    (case.is_log_up && may_grant && is_in_time).then_some(case.claim_time)
 }
 
-fn nearest(case: &Shortfall<'_>) -> Option<(usize, Duration)> {
+fn fastest_holder(case: &Shortfall<'_>) -> Option<(usize, Duration)> {
     let mut best = None;
     for (index, holder) in case.holders.iter().enumerate() {
-        let is_rich = holder.held >= case.cost.saturating_mul(HOLDER_MARGIN);
-        let is_early = case.now.saturating_add(micros(holder.detour)) <= case.deadline;
-        if !holder.is_up || !is_rich || !is_early {
+        let has_quota = holder.held >= case.cost.saturating_mul(HOLDER_MARGIN);
+        let is_in_time = case.now.saturating_add(micros(holder.relay_time)) <= case.deadline;
+        if !holder.is_reachable || !has_quota || !is_in_time {
             continue;
         }
-        if best.is_none_or(|(_, detour)| holder.detour < detour) {
-            best = Some((index, holder.detour));
+        if best.is_none_or(|(_, relay_time)| holder.relay_time < relay_time) {
+            best = Some((index, holder.relay_time));
         }
     }
     best
 }
 
 fn refuse(case: &Shortfall<'_>) -> Refusal {
-    if case.has_log
+    if case.is_log_up
         && let Some(free) = case.free
-        && free.saturating_add(case.elsewhere) < case.cost
+        && free.saturating_add(case.held_elsewhere) < case.cost
     {
-        return Refusal::not_run(RefusalKind::NoBudget, too_little(case, free));
+        return Refusal::not_run(RefusalKind::NoBudget, shortage_detail(case, free));
     }
     let retry = case.claim_time.max(Duration::from_secs(1));
-    if !case.has_log {
+    if !case.is_log_up {
         let detail = "no rights are held here and the log can't grant any";
         return Refusal::not_run(RefusalKind::LogOut, detail).with_retry(retry);
     }
@@ -109,16 +109,18 @@
     Refusal::not_run(RefusalKind::BudgetBusy, detail).with_retry(retry)
 }
 
-/// How much the request needs and how much there is.
-fn too_little(case: &Shortfall<'_>, free: Tokens) -> String {
+/// States how much the request needs and how much there is.
+fn shortage_detail(case: &Shortfall<'_>, free: Tokens) -> String {
     let Shortfall {
-        cost, elsewhere, ..
+        cost,
+        held_elsewhere,
+        ..
     } = case;
     let need = format!(
         "the request may cost up to {cost} tokens; {free} tokens of the budget are free now \
-         and {elsewhere} are held by routers"
+         and {held_elsewhere} are held by routers"
     );
-    if free == 0 && *elsewhere == 0 {
+    if free == 0 && *held_elsewhere == 0 {
         return need;
     }
     need + "; a model request with a lower max_tokens costs less"
--- a/crates/admission/tests/churn.rs
+++ b/crates/admission/tests/churn.rs
@@ -1,4 +1,5 @@
-//! How many records a sizer makes: claims and returns by demand, none without it.
+//! How many log records a sizer causes: claims and returns follow demand, and there are none
+//! without it.
 
 use std::time::Duration;
 
@@ -6,15 +7,15 @@
 use swiftlink_admission::{ClaimOutcome, DemandSizer, Grant, SizerPolicy, Sizing, Waiting};
 
 const SEC: u64 = 1_000_000;
-/// Time between two looks of the claimer.
-const LOOK: u64 = SEC / 10;
-/// Looks after which requests end, and the part of the bound that they leave.
-const RUN: usize = 12;
-const UNSPENT: u64 = 3;
+/// Time between two ticks of the claimer.
+const TICK: u64 = SEC / 10;
+/// Ticks that a request runs, and the divisor that gives the part of its reservation left unspent.
+const RUN_TICKS: usize = 12;
+const UNSPENT_DIVISOR: u64 = 3;
 const SHARERS: u32 = 3;
-const IDLE_LOOKS: usize = 301;
+const IDLE_TICKS: usize = 301;
 
-/// Records that a sizer has made.
+/// Records that a sizer has caused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Records {
     claims: u64,
@@ -29,20 +30,20 @@
         }
     }
 
-    fn all(self) -> u64 {
+    fn total(self) -> u64 {
         self.claims + self.returns
     }
 }
 
-/// One router on a budget, with claims decided as the log does.
+/// One router on a budget; claims are decided as the log does it.
 struct Router {
     sizer: DemandSizer,
     grant: Grant,
     free: u64,
     now: u64,
     running: Vec<(usize, u64)>,
-    waits: Vec<(usize, u64)>,
-    looks: usize,
+    queued: Vec<(usize, u64)>,
+    ticks: usize,
     records: Records,
 }
 
@@ -54,52 +55,52 @@
             free,
             now: 0,
             running: Vec::new(),
-            waits: Vec::new(),
-            looks: 0,
+            queued: Vec::new(),
+            ticks: 0,
             records: Records::default(),
         }
     }
 
-    /// `requests` come, each of `cost` tokens; then the claimer looks once.
-    fn look(&mut self, requests: u64, cost: u64) {
-        self.now += LOOK;
-        self.looks += 1;
+    /// `requests` requests of `cost` tokens each arrive; then the claimer runs once.
+    fn tick(&mut self, requests: u64, cost: u64) {
+        self.now += TICK;
+        self.ticks += 1;
         for _ in 0..requests {
-            self.waits.push((self.looks + 1, cost));
+            self.queued.push((self.ticks + 1, cost));
         }
-        self.end();
+        self.settle_ended();
         self.serve();
-        self.act();
+        self.run_claimer();
         self.serve();
     }
 
-    fn end(&mut self) {
-        let looks = self.looks;
-        for (_, cost) in self.running.extract_if(.., |(until, _)| *until <= looks) {
-            self.grant.settle(cost, cost - cost / UNSPENT);
+    fn settle_ended(&mut self) {
+        let ticks = self.ticks;
+        for (_, cost) in self.running.extract_if(.., |(until, _)| *until <= ticks) {
+            self.grant.settle(cost, cost - cost / UNSPENT_DIVISOR);
         }
     }
 
-    /// Waiting requests take rights; those that waited for long are refused.
+    /// Waiting requests reserve quota; those that waited too long are refused.
     fn serve(&mut self) {
-        for (until, cost) in std::mem::take(&mut self.waits) {
+        for (until, cost) in std::mem::take(&mut self.queued) {
             if self.grant.reserve(cost).is_some() {
-                self.running.push((self.looks + RUN, cost));
-            } else if until > self.looks {
-                self.waits.push((until, cost));
+                self.running.push((self.ticks + RUN_TICKS, cost));
+            } else if until > self.ticks {
+                self.queued.push((until, cost));
             } else {
                 self.grant.miss(cost);
             }
         }
     }
 
-    fn act(&mut self) {
+    fn run_claimer(&mut self) {
         self.sizer.observe(self.now, self.grant.demand());
         let available = self.grant.available();
-        let costs = self.waits.iter().map(|(_, cost)| *cost);
+        let costs = self.queued.iter().map(|(_, cost)| *cost);
         let waiting = Waiting {
-            least: costs.clone().min().unwrap_or(0),
-            total: costs.sum(),
+            min_cost: costs.clone().min().unwrap_or(0),
+            total_cost: costs.sum(),
         };
         if let Some(size) = self.sizer.claim(self.now, available, waiting) {
             self.records.claims += 1;
@@ -113,12 +114,12 @@
             let outcome = ClaimOutcome {
                 granted,
                 free: self.free,
-                elsewhere: 0,
+                held_elsewhere: 0,
                 sharers: SHARERS,
             };
             return self.sizer.on_claimed(self.now, &outcome);
         }
-        if waiting.least > available {
+        if waiting.min_cost > available {
             return;
         }
         if let Some(extra) = self.sizer.surplus(self.now, available) {
@@ -127,19 +128,19 @@
         }
     }
 
-    fn rest(&mut self, looks: usize) -> Records {
+    fn idle(&mut self, ticks: usize) -> Records {
         let before = self.records;
-        for _ in 0..looks {
-            self.look(0, 0);
+        for _ in 0..ticks {
+            self.tick(0, 0);
         }
         self.records.since(before)
     }
 }
 
-/// Stretches of demand: requests in each look, their cost, and looks.
+/// Phases of demand: requests per tick, their cost, and the number of ticks.
 fn demand() -> impl Strategy<Value = Vec<(u64, u64, usize)>> {
-    let stretch = (0..4_u64, 1..3_000_u64, 1..400_usize);
-    prop::collection::vec(stretch, 1..8)
+    let phase = (0..4_u64, 1..3_000_u64, 1..400_usize);
+    prop::collection::vec(phase, 1..8)
 }
 
 fn policies() -> impl Strategy<Value = SizerPolicy> {
@@ -151,54 +152,57 @@
 }
 
 #[test]
-fn an_idle_router_makes_no_records() {
+fn an_idle_router_causes_no_records() {
     let mut router = Router::new(SizerPolicy::default(), 1_000_000);
     for _ in 0..50 {
-        router.look(1, 100);
+        router.tick(1, 100);
     }
-    let first = router.rest(IDLE_LOOKS + RUN);
-    assert!(first.all() <= 3, "{first:?}");
-    assert_eq!(router.rest(6_000), Records::default(), "ten idle minutes");
+    let first = router.idle(IDLE_TICKS + RUN_TICKS);
+    assert!(first.total() <= 3, "{first:?}");
+    assert_eq!(router.idle(6_000), Records::default(), "ten idle minutes");
     assert_eq!(router.grant.available(), 0, "all was returned");
 }
 
 #[test]
-fn demand_that_returns_gets_its_old_size_at_once() {
+fn resumed_demand_gets_its_old_claim_size_at_once() {
     let mut router = Router::new(SizerPolicy::default(), 10_000_000);
     for _ in 0..600 {
-        router.look(2, 100);
+        router.tick(2, 100);
     }
-    let usual = router.sizer.target(router.now);
-    router.rest(3_000);
+    let old_target = router.sizer.target(router.now);
+    router.idle(3_000);
     assert_eq!(router.grant.available(), 0);
     let before = router.records;
-    router.look(2, 100);
+    router.tick(2, 100);
     assert_eq!(router.records.since(before).claims, 1);
     let held = router.grant.available();
-    assert!(held * 10 >= usual * 8, "{held} of {usual} held before");
+    assert!(
+        held * 10 >= old_target * 8,
+        "{held} of {old_target} held before"
+    );
 }
 
 #[test]
-fn steady_demand_makes_few_records() {
+fn steady_demand_causes_few_records() {
     let mut router = Router::new(SizerPolicy::default(), 100_000_000);
-    for look in 0..10_000 {
-        router.look(u64::from(look % 10 == 0), 500);
+    for tick in 0..10_000 {
+        router.tick(u64::from(tick % 10 == 0), 500);
     }
-    let made = router.records.all();
+    let made = router.records.total();
     assert!(made <= 250, "{made} records for 1000 requests");
 }
 
 #[test]
-fn an_empty_budget_is_not_asked_again_and_again() {
+fn claims_on_an_empty_budget_back_off() {
     let mut router = Router::new(SizerPolicy::default(), 1_000);
-    for look in 0..10_000 {
-        router.look(u64::from(look % 10 == 0), 500);
+    for tick in 0..10_000 {
+        router.tick(u64::from(tick % 10 == 0), 500);
     }
-    let made = router.records.all();
+    let made = router.records.total();
     assert!(made <= 1_500, "{made} records for 1000 requests");
-    let late = router.rest(IDLE_LOOKS);
-    assert!(late.all() <= 5, "{late:?}");
-    assert_eq!(router.rest(6_000), Records::default());
+    let late = router.idle(IDLE_TICKS);
+    assert!(late.total() <= 5, "{late:?}");
+    assert_eq!(router.idle(6_000), Records::default());
 }
 
 proptest! {
@@ -214,20 +218,20 @@
         demand in demand(),
     ) {
         let mut router = Router::new(policy, free);
-        for (requests, cost, looks) in demand {
-            for _ in 0..looks {
-                router.look(requests, cost);
+        for (requests, cost, ticks) in demand {
+            for _ in 0..ticks {
+                router.tick(requests, cost);
             }
         }
-        // Requests that wait or run are demand still.
-        router.rest(RUN + 2);
+        // Requests that wait or run still count as demand.
+        router.idle(RUN_TICKS + 2);
         let before = router.records;
-        router.rest(IDLE_LOOKS - RUN - 2);
-        let late = router.rest(3_000);
+        router.idle(IDLE_TICKS - RUN_TICKS - 2);
+        let late = router.idle(3_000);
         prop_assert!(late.claims == 0 && late.returns <= 1, "{late:?}");
         prop_assert_eq!(router.grant.available(), 0);
-        let all = router.records.since(before);
-        prop_assert!(all.returns <= 2, "{all:?}");
+        let total = router.records.since(before);
+        prop_assert!(total.returns <= 2, "{total:?}");
     }
 
     #[test]
@@ -237,14 +241,14 @@
         demand in demand(),
     ) {
         let mut router = Router::new(policy, free);
-        for (requests, cost, looks) in demand {
-            for _ in 0..looks {
-                router.look(requests, cost);
+        for (requests, cost, ticks) in demand {
+            for _ in 0..ticks {
+                router.tick(requests, cost);
             }
-            router.rest(400);
+            router.idle(400);
         }
         let asked = router.grant.demand().requests;
-        let made = router.records.all();
+        let made = router.records.total();
         prop_assert!(made <= 2 * asked + 20, "{made} records for {asked} requests");
     }
 }
--- a/crates/admission/tests/grant.rs
+++ b/crates/admission/tests/grant.rs
@@ -1,4 +1,4 @@
-//! Grants: no token is lost, made or handed out twice.
+//! Grants: no token is lost, created or handed out twice.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
@@ -8,38 +8,38 @@
 use swiftlink_admission::{Grant, GrantCounters};
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Op {
     Reserve(u64),
     Settle(u64),
     Credit(u64),
     Shrink(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        (0..200_u64).prop_map(Act::Reserve),
-        (0..300_u64).prop_map(Act::Settle),
-        (0..500_u64).prop_map(Act::Credit),
-        (0..200_u64).prop_map(Act::Shrink),
+        (0..200_u64).prop_map(Op::Reserve),
+        (0..300_u64).prop_map(Op::Settle),
+        (0..500_u64).prop_map(Op::Credit),
+        (0..200_u64).prop_map(Op::Shrink),
     ]
 }
 
-fn held(counters: GrantCounters) -> u64 {
+fn total(counters: GrantCounters) -> u64 {
     counters.available + counters.reserved + counters.charged + counters.returned
 }
 
-fn run(grant: &Grant, acts: &[Act], charged: &AtomicU64, returned: &AtomicU64) {
+fn run(grant: &Grant, ops: &[Op], charged: &AtomicU64, returned: &AtomicU64) {
     let mut open = Vec::new();
-    for act in acts {
-        match act {
-            Act::Reserve(cost) => open.extend(grant.reserve(*cost)),
-            Act::Settle(spent) => {
+    for op in ops {
+        match op {
+            Op::Reserve(cost) => open.extend(grant.reserve(*cost)),
+            Op::Settle(spent) => {
                 if let Some(reserved) = open.pop() {
                     charged.fetch_add(grant.settle(reserved, *spent), SeqCst);
                 }
             }
-            Act::Credit(amount) => grant.credit(*amount),
-            Act::Shrink(amount) => {
+            Op::Credit(amount) => grant.credit(*amount),
+            Op::Shrink(amount) => {
                 returned.fetch_add(grant.shrink(*amount), SeqCst);
             }
         }
@@ -54,25 +54,25 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn accounts_add_up_under_threads(
-        work in prop::collection::vec(prop::collection::vec(act(), 0..200), 1..5),
+    fn counters_add_up_with_concurrent_threads(
+        work in prop::collection::vec(prop::collection::vec(op(), 0..200), 1..5),
     ) {
         let grant = Grant::new();
         let charged = AtomicU64::new(0);
         let returned = AtomicU64::new(0);
         thread::scope(|scope| {
-            for acts in &work {
-                scope.spawn(|| run(&grant, acts, &charged, &returned));
+            for ops in &work {
+                scope.spawn(|| run(&grant, ops, &charged, &returned));
             }
         });
         let counters = grant.counters();
         let credited: u64 = work
             .iter()
             .flatten()
-            .map(|act| if let Act::Credit(amount) = act { *amount } else { 0 })
+            .map(|op| if let Op::Credit(amount) = op { *amount } else { 0 })
             .sum();
         prop_assert_eq!(counters.granted, credited);
-        prop_assert_eq!(held(counters), credited);
+        prop_assert_eq!(total(counters), credited);
         prop_assert_eq!(counters.reserved, 0);
         prop_assert_eq!(counters.charged, charged.into_inner());
         prop_assert_eq!(counters.returned, returned.into_inner());
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: nothing lost, weights kept, deadlines and appointments honest.
+//! The queue: no entry is lost, weights are kept, deadlines and retry times are met.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,19 +20,19 @@
         class: class(name),
         key,
         deadline,
-        expect: None,
+        service_time: None,
         payload: key,
     }
 }
 
-/// A queue that has seen services of 100 ms.
+/// A queue with an initial service time of 100 ms.
 fn queue(slots: usize, weights: &[(&str, u32)]) -> Queue<u64> {
-    patient_queue(slots, weights, Duration::from_secs(1))
+    queue_with_max_wait(slots, weights, Duration::from_secs(1))
 }
 
-fn patient_queue(slots: usize, weights: &[(&str, u32)], max_wait: Duration) -> Queue<u64> {
+fn queue_with_max_wait(slots: usize, weights: &[(&str, u32)], max_wait: Duration) -> Queue<u64> {
     let policy = QueuePolicy {
-        first_service: Duration::from_millis(100),
+        initial_service: Duration::from_millis(100),
         max_wait,
         ..QueuePolicy::default()
     };
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn free_slot_takes_at_once_in_order() {
+fn free_slots_are_filled_at_once_in_order() {
     let mut queue = queue(3, &[]);
     for key in 1..=3 {
-        queue.push(entry("a", key, FAR), 0).expect("room");
+        queue.push(entry("a", key, FAR), 0).expect("capacity");
     }
     let order: Vec<u64> = std::iter::from_fn(|| queue.pop(0))
         .map(|(_, entry)| entry.payload)
@@ -61,15 +61,19 @@
 }
 
 #[test]
-fn weights_share_the_service_and_none_starves() {
+fn service_is_shared_by_weight_without_starvation() {
     let mut queue = queue(1, &[("gold", 8), ("plain", 1)]);
     let mut served: HashMap<String, u32> = HashMap::new();
     for key in 1..=900 {
         while queue.class_len(&class("gold")) < 5 {
-            queue.push(entry("gold", 0, FAR), key * MS).expect("room");
+            queue
+                .push(entry("gold", 0, FAR), key * MS)
+                .expect("capacity");
         }
         while queue.class_len(&class("plain")) < 1 {
-            queue.push(entry("plain", 0, FAR), key * MS).expect("room");
+            queue
+                .push(entry("plain", 0, FAR), key * MS)
+                .expect("capacity");
         }
         let (_, entry) = queue.pop(key * MS).expect("a free slot");
         *served.entry(entry.class.to_string()).or_default() += 1;
@@ -80,14 +84,14 @@
 }
 
 #[test]
-fn overload_is_refused_at_once_with_a_time() {
+fn overload_is_refused_at_once_with_a_retry_time() {
     let mut queue = queue(1, &[("a", 1)]);
     let refusal = (1..100)
         .find_map(|key| queue.push(entry("a", key, FAR), 0).err())
-        .expect("a second of waiting holds ten");
+        .expect("one second of wait admits about ten entries");
     assert_eq!(refusal.kind, RefusalKind::Overloaded);
     assert_eq!(refusal.outcome, Outcome::NotRun);
-    assert!(refusal.retry_after.expect("a time to come back") > Duration::from_millis(500));
+    assert!(refusal.retry_after.expect("a retry time") > Duration::from_millis(500));
     assert!((9..=11).contains(&queue.len()), "{}", queue.len());
 }
 
@@ -101,33 +105,35 @@
 }
 
 #[test]
-fn late_entries_are_given_up_before_their_deadline() {
+fn late_entries_expire_before_their_deadline() {
     let mut queue = queue(1, &[("a", 1)]);
     queue.push(entry("a", 1, FAR), 0).expect("a free slot");
     queue.pop(0).expect("a free slot");
-    let ticket = queue.push(entry("a", 2, 300 * MS), 0).expect("in time");
-    assert!(queue.expired(200 * MS).is_empty());
-    let at = queue.next_expiry().expect("one waits");
+    let ticket = queue
+        .push(entry("a", 2, 300 * MS), 0)
+        .expect("its deadline can be met");
+    assert!(queue.take_expired(200 * MS).is_empty());
+    let at = queue.next_expiry().expect("one entry waits");
     assert!(at < 300 * MS);
-    let given_up = queue.expired(at);
-    assert_eq!(given_up.len(), 1);
-    assert_eq!(given_up[0].ticket, ticket);
-    assert!(given_up[0].refusal.retry_after.is_some());
+    let expired = queue.take_expired(at);
+    assert_eq!(expired.len(), 1);
+    assert_eq!(expired[0].ticket, ticket);
+    assert!(expired[0].refusal.retry_after.is_some());
     assert!(queue.is_empty());
 }
 
 #[test]
 fn cancelled_entry_is_not_served() {
     let mut queue = queue(1, &[]);
-    let first = queue.push(entry("a", 1, FAR), 0).expect("room");
-    queue.push(entry("a", 2, FAR), 0).expect("room");
+    let first = queue.push(entry("a", 1, FAR), 0).expect("capacity");
+    queue.push(entry("a", 2, FAR), 0).expect("capacity");
     assert_eq!(queue.cancel(first).map(|entry| entry.payload), Some(1));
     assert_eq!(queue.cancel(first), None);
     assert_eq!(queue.pop(0).map(|(_, entry)| entry.payload), Some(2));
 }
 
 #[test]
-fn one_that_returns_as_told_goes_before_new_ones() {
+fn due_retry_goes_before_new_entries() {
     let mut queue = queue(1, &[("a", 1)]);
     queue.push(entry("a", 1, FAR), 0).expect("a free slot");
     queue.pop(0).expect("a free slot");
@@ -136,10 +142,10 @@
         .expect("overloaded");
     let early = queue.push(entry("a", key, FAR), MS);
     assert_eq!(early.expect_err("too early").kind, RefusalKind::Overloaded);
-    let due = refusal.retry_after.expect("a time").as_micros() as Micros;
+    let due = refusal.retry_after.expect("a retry time").as_micros() as Micros;
     queue
         .push(entry("a", key, FAR), due + SEC)
-        .expect("as told");
+        .expect("at its due time");
     queue.on_done(due + SEC, 100 * MS);
     assert_eq!(
         queue.pop(due + SEC).map(|(_, entry)| entry.payload),
@@ -147,7 +153,7 @@
     );
 }
 
-/// The bound on the wait must not keep the lightest class out for good.
+/// The bound on the wait must not shut out the class with the smallest weight for good.
 #[test]
 fn light_class_gets_its_share_under_a_short_bound() {
     let mut queue = queue(1, &[("gold", 49), ("plain", 1)]);
@@ -156,7 +162,7 @@
         let now = step * 100 * MS;
         while queue.push(entry("gold", 0, FAR), now).is_ok() {}
         let _refused = queue.push(entry("plain", 0, FAR), now);
-        let (_, entry) = queue.pop(now).expect("gold waits");
+        let (_, entry) = queue.pop(now).expect("gold has waiting entries");
         served += u32::from(entry.class == class("plain"));
         queue.on_done(now, 100 * MS);
     }
@@ -166,10 +172,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Each entry ends in exactly one way, classes are first come first served, and
-    /// no class waits longer than its weight allows.
+    /// Each entry ends in exactly one way, classes are first come, first served, and the slots in
+    /// use stay within their number.
     #[test]
-    fn nothing_is_lost(
+    fn no_entry_is_lost(
         steps in prop::collection::vec((0..3_usize, 1..60_u64, 0..4_u8), 1..300),
         slots in 1..4_usize,
     ) {
@@ -193,33 +199,34 @@
             }
             while let Some((ticket, entry)) = queue.pop(now) {
                 prop_assert_eq!(waiting.remove(&ticket), Some(entry.payload));
-                let lane = NAMES.iter().position(|name| class(name) == entry.class);
-                let lane = lane.expect("a known class");
-                prop_assert!(entry.payload > last[lane], "first come first served");
+                let index = NAMES.iter().position(|name| class(name) == entry.class);
+                let index = index.expect("a known class");
+                prop_assert!(entry.payload > last[index], "first come first served");
                 prop_assert!(entry.deadline > now);
-                last[lane] = entry.payload;
+                last[index] = entry.payload;
             }
-            for given_up in queue.expired(now) {
-                let payload = given_up.entry.payload;
-                prop_assert_eq!(waiting.remove(&given_up.ticket), Some(payload));
+            for expired in queue.take_expired(now) {
+                let payload = expired.entry.payload;
+                prop_assert_eq!(waiting.remove(&expired.ticket), Some(payload));
             }
             prop_assert!(queue.in_flight() <= slots);
             prop_assert_eq!(queue.len(), waiting.len());
         }
     }
 
-    /// With every class always waiting, each is served within the sum of the weights.
+    /// When every class always has waiting entries, each is served within a number of services
+    /// bounded by the sum of the weights.
     #[test]
     fn no_class_starves(weights in prop::collection::vec(1..50_u32, 2..5)) {
         let names = ["a", "b", "c", "d"];
         let classes: Vec<_> = names.iter().copied().zip(weights.iter().copied()).collect();
-        let mut queue = patient_queue(1, &classes, Duration::from_secs(600));
+        let mut queue = queue_with_max_wait(1, &classes, Duration::from_secs(600));
         let total: u32 = weights.iter().sum();
         let mut since = vec![0_u32; classes.len()];
         for step in 0..500 {
             for (name, _) in &classes {
                 while queue.class_len(&class(name)) < 2 {
-                    queue.push(entry(name, 0, FAR), step).expect("room");
+                    queue.push(entry(name, 0, FAR), step).expect("capacity");
                 }
             }
             let (_, entry) = queue.pop(step).expect("a free slot");
@@ -230,27 +237,27 @@
                     since[index] = 0;
                 }
                 let bound = total.div_ceil(*weight) + classes.len() as u32;
-                prop_assert!(since[index] <= bound, "{name} waited {} picks", since[index]);
+                prop_assert!(since[index] <= bound, "{name} waited {} services", since[index]);
             }
         }
     }
 }
 
 #[test]
-fn idle_class_saves_up_nothing() {
-    let mut queue = patient_queue(1, &[("a", 1), ("b", 1)], Duration::from_secs(600));
+fn idle_class_gets_no_credit() {
+    let mut queue = queue_with_max_wait(1, &[("a", 1), ("b", 1)], Duration::from_secs(600));
     let serve = |queue: &mut Queue<u64>| {
         let (_, entry) = queue.pop(0).expect("a free slot");
         queue.on_done(0, MS);
         entry.class
     };
     for _ in 0..50 {
-        queue.push(entry("a", 0, FAR), 0).expect("room");
+        queue.push(entry("a", 0, FAR), 0).expect("capacity");
         serve(&mut queue);
     }
     for _ in 0..10 {
-        queue.push(entry("a", 0, FAR), 0).expect("room");
-        queue.push(entry("b", 0, FAR), 0).expect("room");
+        queue.push(entry("a", 0, FAR), 0).expect("capacity");
+        queue.push(entry("b", 0, FAR), 0).expect("capacity");
     }
     let served: Vec<_> = (0..10).map(|_| serve(&mut queue)).collect();
     let late = served.iter().filter(|name| **name == class("b")).count();
--- a/crates/admission/tests/sizer.rs
+++ b/crates/admission/tests/sizer.rs
@@ -14,7 +14,7 @@
     DemandSizer::new(SizerPolicy::default())
 }
 
-/// Runs `secs` of steady demand: `requests` a step, each of `cost` tokens.
+/// Runs `secs` seconds of steady demand: `requests` requests per step, of 100 tokens each.
 fn spend(sizer: &mut DemandSizer, demand: &mut Demand, from: u64, secs: u64, requests: u64) -> u64 {
     let mut now = from;
     while now < from + secs * SEC {
@@ -30,7 +30,7 @@
     ClaimOutcome {
         granted,
         free,
-        elsewhere: 0,
+        held_elsewhere: 0,
         sharers,
     }
 }
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn first_waiting_request_is_claimed_for() {
+fn first_waiting_request_causes_a_claim() {
     let mut sizer = sizer();
     let waiting = Waiting {
-        least: 80,
-        total: 200,
+        min_cost: 80,
+        total_cost: 200,
     };
     let size = sizer.claim(0, 0, waiting).expect("a request waits");
     assert_eq!(size.need, 80);
@@ -58,16 +58,18 @@
     let mut sizer = sizer();
     let mut demand = Demand::default();
     let now = spend(&mut sizer, &mut demand, 0, 120, 5);
-    // 50 requests a second of 100 tokens, 10 s ahead.
+    // 50 requests per second of 100 tokens, 10 s ahead.
     let target = sizer.target(now);
     assert!((45_000..60_000).contains(&target), "target {target}");
-    let size = sizer.claim(now, 10_000, Waiting::default()).expect("low");
+    let size = sizer
+        .claim(now, 10_000, Waiting::default())
+        .expect("little quota is left");
     assert_eq!(size.want, target - 10_000);
     assert_eq!(sizer.claim(now, target, Waiting::default()), None);
 }
 
 #[test]
-fn relayed_requests_are_demand_too() {
+fn relayed_requests_count_as_demand() {
     let mut sizer = sizer();
     let mut demand = Demand::default();
     for step in 0..100 {
@@ -91,11 +93,11 @@
 }
 
 #[test]
-fn refused_claims_pause_until_news() {
+fn refused_claims_back_off_until_tokens_are_free() {
     let mut sizer = sizer();
     let waiting = Waiting {
-        least: 50,
-        total: 50,
+        min_cost: 50,
+        total_cost: 50,
     };
     sizer.claim(0, 0, waiting).expect("a request waits");
     sizer.on_claimed(0, &granted(0, 10, 2));
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn idle_rights_are_returned_but_not_while_the_log_is_out() {
+fn idle_quota_is_returned_but_not_while_the_log_is_down() {
     let mut sizer = sizer();
     let mut demand = Demand::default();
     let now = spend(&mut sizer, &mut demand, 0, 10, 5);
@@ -126,23 +128,27 @@
     let held = 50_000;
     assert_eq!(sizer.surplus(now, held), None);
     let now = spend(&mut sizer, &mut demand, now, 4, 5);
-    let back = sizer.surplus(now, held).expect("others need it");
+    let back = sizer
+        .surplus(now, held)
+        .expect("other routers need the surplus");
     assert_eq!(back, held - sizer.target(now));
 }
 
 #[test]
-fn rights_too_small_for_the_waiting_request_are_returned() {
+fn quota_too_small_for_the_waiting_request_is_returned() {
     let mut sizer = sizer();
     let waiting = Waiting {
-        least: 120,
-        total: 120,
+        min_cost: 120,
+        total_cost: 120,
     };
-    sizer.claim(0, 70, waiting).expect("70 are too few");
+    sizer.claim(0, 70, waiting).expect("70 tokens are too few");
     sizer.on_claimed(0, &granted(0, 3, 8));
     assert_eq!(sizer.surplus(1, 70), Some(70));
     assert_eq!(sizer.surplus(2, 70), None);
-    // What arrives meanwhile is of use.
-    sizer.claim(SEC, 70, waiting).expect("70 are too few");
+    // Quota that arrives meanwhile makes the total useful.
+    sizer
+        .claim(SEC, 70, waiting)
+        .expect("70 tokens are too few");
     sizer.on_claimed(SEC, &granted(0, 3, 8));
     assert_eq!(sizer.surplus(SEC, 120), None);
 }
@@ -151,7 +157,9 @@
 fn even_split_claims_its_share_once() {
     let mut sizer = EvenSplit::new(4);
     sizer.on_budget(0, 1_000, 1_000, 0);
-    let size = sizer.claim(0, 0, Waiting::default()).expect("a share");
+    let size = sizer
+        .claim(0, 0, Waiting::default())
+        .expect("a share of the budget");
     assert_eq!(size.want, 250);
     sizer.on_claimed(0, &granted(250, 750, 1));
     assert_eq!(sizer.claim(0, 0, Waiting::default()), None);
@@ -164,7 +172,9 @@
 fn fixed_chunk_claims_below_half() {
     let mut sizer = FixedChunk::new(100);
     assert_eq!(sizer.claim(0, 60, Waiting::default()), None);
-    let size = sizer.claim(0, 40, Waiting::default()).expect("low");
+    let size = sizer
+        .claim(0, 40, Waiting::default())
+        .expect("little quota is left");
     assert_eq!((size.need, size.want), (1, 100));
 }
 
@@ -183,16 +193,16 @@
         let mut sizer = DemandSizer::new(policy);
         let mut demand = Demand::default();
         let mut now = 0;
-        for (requests, cost, available, waits) in steps {
+        for (requests, cost, available, waiting_cost) in steps {
             now += STEP;
             demand.requests += requests;
             demand.taken += requests * cost;
             demand.unspent += requests * cost / 3;
             sizer.observe(now, demand);
-            let waiting = Waiting { least: waits, total: waits * 2 };
+            let waiting = Waiting { min_cost: waiting_cost, total_cost: waiting_cost * 2 };
             if let Some(size) = sizer.claim(now, available, waiting) {
                 prop_assert!(size.need >= 1 && size.need <= size.want);
-                prop_assert!(waits <= available || size.need + available >= waits);
+                prop_assert!(waiting_cost <= available || size.need + available >= waiting_cost);
                 sizer.on_claimed(now, &granted(size.need % 2, available, 3));
             }
             if let Some(back) = sizer.surplus(now, available) {
