--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -107,7 +107,7 @@
             class: classes[next % classes.len()].clone(),
             key: next as u64,
             deadline: now + 3_600_000_000,
-            expect: None,
+            service_time: None,
             payload: (),
         }
     };
--- a/crates/bench/src/grants/holder.rs
+++ b/crates/bench/src/grants/holder.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use swiftlink_admission::{
-    ClaimOutcome, ClaimSize, Grant, Holding, Shortfall, Sizing, Step, Waiting, shortfall,
+    ClaimOutcome, ClaimSize, Grant, HolderState, Shortfall, ShortfallAction, Sizing, Waiting,
+    shortfall,
 };
 use swiftlink_types::{Micros, Tokens};
 use swiftlink_wire::log::ClaimFate;
@@ -96,13 +97,13 @@
         let available = self.grant.available();
         self.sizing.observe(now, self.grant.demand());
         let waiting = Waiting {
-            least: self.waiters.iter().map(|w| w.cost).min().unwrap_or(0),
-            total: self.waiters.iter().map(|w| w.cost).sum(),
+            min_cost: self.waiters.iter().map(|w| w.cost).min().unwrap_or(0),
+            total_cost: self.waiters.iter().map(|w| w.cost).sum(),
         };
         if let Some(size) = self.sizing.claim(now, available, waiting) {
             return Move::Claim(size);
         }
-        let is_short = waiting.least > available;
+        let is_short = waiting.min_cost > available;
         if !is_short && let Some(extra) = self.sizing.surplus(now, available) {
             let taken = self.grant.shrink(extra);
             return Move::Return(taken);
@@ -119,7 +120,7 @@
         let outcome = ClaimOutcome {
             granted: fate.granted,
             free: fate.free,
-            elsewhere: fate.elsewhere,
+            held_elsewhere: fate.elsewhere,
             sharers: fate.sharers,
         };
         self.sharers = fate.sharers;
@@ -146,36 +147,41 @@
     }
 
     /// What a request does that finds no rights; for a relay the holders to try.
-    pub(crate) fn decide(&self, now: Micros, waiter: &Waiter, has_log: bool) -> (Step, Vec<usize>) {
+    pub(crate) fn decide(
+        &self,
+        now: Micros,
+        waiter: &Waiter,
+        has_log: bool,
+    ) -> (ShortfallAction, Vec<usize>) {
         let news = &self.news;
         let is_fresh = news
             .at
             .is_some_and(|at| now - at <= PAUSE || at >= waiter.since);
         let listed: &[(usize, Tokens)] = if waiter.may_relay { &news.holders } else { &[] };
-        let holdings: Vec<Holding> = listed.iter().map(|(_, held)| holding(*held)).collect();
+        let holdings: Vec<HolderState> = listed.iter().map(|(_, held)| holding(*held)).collect();
         let own = self.grant.counters();
         let step = shortfall(&Shortfall {
             cost: waiter.cost,
             now,
             deadline: waiter.until,
-            has_log: has_log && !news.is_out,
+            is_log_up: has_log && !news.is_out,
             claim_time: Duration::from_micros(self.claim_time),
             free: is_fresh.then_some(news.free),
-            elsewhere: news.elsewhere + own.available + own.reserved,
+            held_elsewhere: news.elsewhere + own.available + own.reserved,
             holders: &holdings,
         });
         let mut peers: Vec<usize> = listed.iter().map(|(index, _)| *index).collect();
-        if let Step::Relay(index) = step {
+        if let ShortfallAction::Relay(index) = step {
             peers.swap(0, index);
         }
         (step, peers)
     }
 }
 
-fn holding(held: Tokens) -> Holding {
-    Holding {
+fn holding(held: Tokens) -> HolderState {
+    HolderState {
         held,
-        detour: DETOUR,
-        is_up: true,
+        relay_time: DETOUR,
+        is_reachable: true,
     }
 }
--- a/crates/bench/src/grants/setup.rs
+++ b/crates/bench/src/grants/setup.rs
@@ -98,7 +98,7 @@
     pub fn demand(name: &str, ahead: u64, hold: f64, relay: bool) -> Self {
         let policy = SizerPolicy {
             ahead: Duration::from_secs(ahead),
-            hold,
+            scarce_ratio: hold,
             // As the router sets it: the setting `claim_pause_ms`.
             retry_max: Duration::from_millis(100),
             ..SizerPolicy::default()
--- a/crates/bench/src/grants/world.rs
+++ b/crates/bench/src/grants/world.rs
@@ -1,6 +1,6 @@
 //! The run: events in virtual time between holders and the ledger.
 
-use swiftlink_admission::Step;
+use swiftlink_admission::ShortfallAction;
 use swiftlink_types::{Micros, RefusalKind, Tokens};
 
 use super::counter::{Counter, count};
@@ -297,9 +297,9 @@
         let has_log = self.setup.has_log(holder, now);
         let (step, peers) = self.holders[holder].decide(now, &waiter, has_log);
         match step {
-            Step::Wait => {}
-            Step::Relay(_) => self.relay(now, holder, waiter, peers),
-            Step::Refuse(refusal) => self.turn_away(now, holder, waiter, refusal.kind),
+            ShortfallAction::Wait => {}
+            ShortfallAction::Relay(_) => self.relay(now, holder, waiter, peers),
+            ShortfallAction::Refuse(refusal) => self.turn_away(now, holder, waiter, refusal.kind),
         }
     }
 
--- a/crates/bench/src/limits/overload.rs
+++ b/crates/bench/src/limits/overload.rs
@@ -180,7 +180,7 @@
             class: ClassName::from(name),
             key,
             deadline: now + self.setup.deadline,
-            expect: None,
+            service_time: None,
             payload: Waiting {
                 class,
                 since: now,
@@ -216,7 +216,7 @@
     }
 
     fn give_up(&mut self, now: Micros) {
-        for given in self.queue.expired(now) {
+        for given in self.queue.take_expired(now) {
             let waiting = given.entry.payload;
             let counts = self.counts(now);
             let served = &mut self.outcome.classes[waiting.class];
--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -10,7 +10,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use swiftlink_admission::{Grant, Holding, Reservation, Shortfall, Step, Waiting, shortfall};
+use swiftlink_admission::{
+    Grant, HolderState, Reservation, Shortfall, ShortfallAction, Waiting, shortfall,
+};
 use swiftlink_types::{BudgetName, Micros, Refusal, RefusalKind, Tokens};
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout_at};
@@ -220,15 +222,15 @@
             cost,
             now: micros_since(start, now),
             deadline: micros_since(start, until),
-            has_log: policy.has_log && !told.is_out,
+            is_log_up: policy.has_log && !told.is_out,
             claim_time: self.claim_time(),
             free: is_fresh.then_some(told.free),
-            elsewhere: told.elsewhere + own.available + own.reserved,
+            held_elsewhere: told.elsewhere + own.available + own.reserved,
             holders: &holdings,
         };
         match shortfall(&case) {
-            Step::Wait => Ok(()),
-            Step::Relay(index) => {
+            ShortfallAction::Wait => Ok(()),
+            ShortfallAction::Relay(index) => {
                 let mut holders: Vec<_> = listed.iter().map(|holder| holder.address).collect();
                 holders.swap(0, index);
                 Err(Shortage {
@@ -236,7 +238,7 @@
                     holders,
                 })
             }
-            Step::Refuse(refusal) => Err(Shortage {
+            ShortfallAction::Refuse(refusal) => Err(Shortage {
                 refusal,
                 holders: Vec::new(),
             }),
@@ -260,8 +262,8 @@
         let waiters = self.lock();
         let least = waiters.costs.values().min().copied();
         Waiting {
-            least: least.unwrap_or(0),
-            total: waiters.costs.values().sum(),
+            min_cost: least.unwrap_or(0),
+            total_cost: waiters.costs.values().sum(),
         }
     }
 
@@ -329,11 +331,11 @@
     }
 }
 
-fn holding(holder: &Holder) -> Holding {
-    Holding {
+fn holding(holder: &Holder) -> HolderState {
+    HolderState {
         held: holder.held,
-        detour: DETOUR,
-        is_up: true,
+        relay_time: DETOUR,
+        is_reachable: true,
     }
 }
 
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -156,7 +156,7 @@
             self.claim(size).await;
             return true;
         }
-        if waiting.least > available {
+        if waiting.min_cost > available {
             // In a pause between claims the last answer stands.
             self.account.tell(|news| news.at = Some(Instant::now()));
         } else if let Some(extra) = self.sizer.surplus(now, available) {
@@ -167,7 +167,7 @@
 
     async fn sleep(&mut self) {
         let available = self.account.grant.available();
-        let is_short = self.account.waiting().least > available;
+        let is_short = self.account.waiting().min_cost > available;
         let is_idle = available == 0 && !is_short;
         let tick = if is_short { TOLD_PAUSE } else { TICK };
         tokio::select! {
@@ -267,7 +267,7 @@
         let outcome = ClaimOutcome {
             granted: fate.granted,
             free: fate.free,
-            elsewhere: fate.elsewhere,
+            held_elsewhere: fate.elsewhere,
             sharers: fate.sharers,
         };
         let now = self.now();
--- a/crates/router/src/dump.rs
+++ b/crates/router/src/dump.rs
@@ -37,7 +37,7 @@
                     "charged": counters.charged,
                     "granted": counters.granted,
                     "returned": counters.returned,
-                    "waiting": account.waiting().total,
+                    "waiting": account.waiting().total_cost,
                     "log_out": news.is_out,
                     "free": news.free,
                     "elsewhere": news.elsewhere,
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -164,7 +164,7 @@
             class: arrival.class,
             key: arrival.key,
             deadline: now + arrival.left.as_micros() as Micros,
-            expect: None,
+            service_time: None,
             payload: sender,
         };
         let pushed = inner.queue.push(entry, now);
@@ -205,7 +205,7 @@
         if !is_due || swapped.is_err() {
             return;
         }
-        let given_up = self.lock().queue.expired(self.now());
+        let given_up = self.lock().queue.take_expired(self.now());
         for entry in given_up {
             // The request may have gone.
             let _gone = entry.entry.payload.send(Err(entry.refusal));
@@ -219,7 +219,7 @@
                 let now = self.now();
                 inner.queue.on_done(now, time.as_micros() as Micros);
             }
-            None => inner.queue.on_unused(),
+            None => inner.queue.on_abandoned(),
         }
         let spare = self.pump(&mut inner);
         drop(inner);
--- a/crates/router/tests/account.rs
+++ b/crates/router/tests/account.rs
@@ -44,13 +44,13 @@
 async fn a_granted_claim_serves_the_waiter() {
     let account = account();
     claimer(&account, |account| {
-        assert_eq!(account.waiting().least, 60);
+        assert_eq!(account.waiting().min_cost, 60);
         account.grant.credit(80);
         account.tell(|news| news.at = Some(Instant::now()));
     });
     let held = account.obtain(60, policy(), true).await.expect("granted");
     assert_eq!(held.amount(), 60);
-    assert_eq!(account.waiting().total, 0);
+    assert_eq!(account.waiting().total_cost, 0);
 }
 
 #[tokio::test(start_paused = true)]
