--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -52,7 +52,7 @@
 
     fn check(&self) -> Result<(), LogError> {
         if self.cut.load(Ordering::SeqCst) {
-            return Err(LogError::Out("cut".to_owned()));
+            return Err(LogError::Unavailable("cut".to_owned()));
         }
         Ok(())
     }
--- a/crates/log/src/http.rs
+++ b/crates/log/src/http.rs
@@ -146,7 +146,7 @@
             return Err(without_effect(refusal(&answer)));
         }
 
-        let body = answer.body.map_err(LogError::Out)?;
+        let body = answer.body.map_err(LogError::Unavailable)?;
         LogPage::decode(body).map_err(|error| LogError::Protocol(error.to_string()))
     }
 }
@@ -168,7 +168,7 @@
 fn classify(error: &hyper_util::client::legacy::Error) -> LogError {
     let detail = on_one_line(error);
     if error.is_connect() {
-        LogError::Out(detail)
+        LogError::Unavailable(detail)
     } else {
         LogError::Unknown(detail)
     }
@@ -189,7 +189,7 @@
     }
 
     if status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS {
-        return LogError::Out(detail);
+        return LogError::Unavailable(detail);
     }
     if status.is_client_error() {
         return LogError::Protocol(detail);
@@ -200,7 +200,7 @@
 /// A read changes nothing, so no doubt is left about its effect.
 fn without_effect(error: LogError) -> LogError {
     match error {
-        LogError::Unknown(detail) => LogError::Out(detail),
+        LogError::Unknown(detail) => LogError::Unavailable(detail),
         other => other,
     }
 }
--- a/crates/log/src/mem.rs
+++ b/crates/log/src/mem.rs
@@ -98,7 +98,7 @@
     fn page(&self, stream: &StreamName, from: u64, max: u32) -> Result<LogPage, LogError> {
         let mut inner = self.lock();
         if inner.strikes(&[Fault::Outage]).is_some() {
-            return Err(LogError::Out("outage".to_owned()));
+            return Err(LogError::Unavailable("outage".to_owned()));
         }
         match inner.streams.get(stream) {
             Some(stream) => stream.page(from, max),
@@ -164,7 +164,7 @@
         let kinds = [Fault::Outage, Fault::LoseAnswers, Fault::LoseRequests];
         let fault = inner.strikes(&kinds);
         match fault {
-            Some(Fault::Outage) => return Err(LogError::Out("outage".to_owned())),
+            Some(Fault::Outage) => return Err(LogError::Unavailable("outage".to_owned())),
             Some(Fault::LoseRequests) => return Err(LogError::Unknown("no answer".to_owned())),
             Some(Fault::LoseAnswers | Fault::None) | None => {}
         }
--- a/crates/log/src/service.rs
+++ b/crates/log/src/service.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// [`LogError::Trimmed`] when `from` is older than what the log keeps. A read
-    /// has no effect, so every failure of the transport is [`LogError::Out`].
+    /// has no effect, so every failure of the transport is [`LogError::Unavailable`].
     async fn read(
         &self,
         stream: &StreamName,
@@ -38,7 +38,7 @@
 pub enum LogError {
     /// The log is out; the call certainly had no effect.
     #[error("log is out: {0}")]
-    Out(String),
+    Unavailable(String),
     /// No usable answer; the call may have had its effect.
     #[error("log gave no answer, the call may have taken effect: {0}")]
     Unknown(String),
--- a/crates/log/tests/http.rs
+++ b/crates/log/tests/http.rs
@@ -151,9 +151,12 @@
 
     let log = HttpLog::open(address, "ledger-1", LONG);
     let appended = log.append(&stream(), Bytes::from_static(b"record")).await;
-    assert!(matches!(appended, Err(LogError::Out(_))), "{appended:?}");
+    assert!(
+        matches!(appended, Err(LogError::Unavailable(_))),
+        "{appended:?}"
+    );
     let read = log.read(&stream(), 0, 1, Duration::ZERO).await;
-    assert!(matches!(read, Err(LogError::Out(_))), "{read:?}");
+    assert!(matches!(read, Err(LogError::Unavailable(_))), "{read:?}");
 }
 
 #[tokio::test]
@@ -188,7 +191,7 @@
 fn kind(result: Result<(), LogError>) -> String {
     match result {
         Ok(()) => "taken".to_owned(),
-        Err(LogError::Out(_)) => "out".to_owned(),
+        Err(LogError::Unavailable(_)) => "out".to_owned(),
         Err(LogError::Unknown(_)) => "unknown".to_owned(),
         Err(LogError::Protocol(_)) => "protocol".to_owned(),
         Err(LogError::Trimmed { first }) => format!("trimmed {first}"),
--- a/crates/log/tests/parts.rs
+++ b/crates/log/tests/parts.rs
@@ -27,9 +27,12 @@
     assert_eq!(append(&log, "a").await, Ok(0));
 
     log.set_fault(Fault::Outage);
-    assert!(matches!(append(&log, "b").await, Err(LogError::Out(_))));
+    assert!(matches!(
+        append(&log, "b").await,
+        Err(LogError::Unavailable(_))
+    ));
     let read = log.read(&stream(), 0, 9, NO_WAIT).await;
-    assert!(matches!(read, Err(LogError::Out(_))));
+    assert!(matches!(read, Err(LogError::Unavailable(_))));
 
     log.fail_next(Fault::LoseAnswers, 1);
     assert!(matches!(append(&log, "c").await, Err(LogError::Unknown(_))));
