--- a/crates/log/src/buffer.rs
+++ b/crates/log/src/buffer.rs
@@ -1,11 +1,11 @@
-//! Records that a replica keeps while it waits for a whole snapshot.
+//! Records that a replica keeps while it waits for a complete snapshot.
 
 use std::collections::VecDeque;
 
-/// Bytes up to which the buffer keeps records that the log itself has trimmed.
-const SPARE_BYTES: usize = 16 * 1024 * 1024;
+/// Size of the buffer in bytes above which it drops records that the log has trimmed.
+const MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// A run of consecutive records. A snapshot chunk holds its place without data.
+/// Consecutive records; `None` stands for a snapshot chunk, whose data is not kept.
 #[derive(Debug, Default)]
 pub(crate) struct Buffer {
     base: u64,
@@ -14,7 +14,7 @@
 }
 
 impl Buffer {
-    /// An empty buffer whose first record will be the one at `base`.
+    /// Creates an empty buffer whose first record will have the offset `base`.
     pub(crate) fn new(base: u64) -> Self {
         Self {
             base,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Offset of the oldest record kept.
+    /// Offset of the oldest buffered record.
     pub(crate) fn base(&self) -> u64 {
         self.base
     }
@@ -33,10 +33,10 @@
         self.records.push_back(data.map(<[u8]>::to_vec));
     }
 
-    /// Bounds the memory used: over the spare bytes, drops records before `first`,
-    /// which the log no longer keeps either.
+    /// Bounds the memory used: above [`MAX_BYTES`], drops records before `first`, which
+    /// the log has trimmed too.
     pub(crate) fn trim(&mut self, first: u64) {
-        while self.bytes > SPARE_BYTES && self.base < first {
+        while self.bytes > MAX_BYTES && self.base < first {
             let Some(record) = self.records.pop_front() else {
                 return;
             };
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The records after `offset`, with their offsets.
+    /// Returns the records after `offset` with their offsets, without snapshot chunks.
     pub(crate) fn after(&self, offset: u64) -> impl Iterator<Item = (u64, &[u8])> {
         let skip = (offset + 1).saturating_sub(self.base);
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
--- a/crates/log/src/fold.rs
+++ b/crates/log/src/fold.rs
@@ -1,34 +1,34 @@
-//! What a replica needs to know of the state that a stream's records fold to.
+//! The state machine that a replica runs over the records of a stream.
 
 use swiftlink_wire::log::SnapshotChunk;
 
 /// A deterministic state machine over the records of one stream.
 ///
-/// Equal records at equal offsets give equal states and fates on every process.
+/// The same records at the same offsets give the same states and fates in every process.
 pub trait Fold: Sized + Send + 'static {
-    /// What became of one record.
+    /// Outcome of one record.
     type Fate: Send;
 
     /// The state before the first record.
     fn empty() -> Self;
 
-    /// Folds the record at `offset`; a snapshot chunk or a malformed record
-    /// changes nothing.
+    /// Applies the record at `offset`. A snapshot chunk or a malformed record does not
+    /// change the state.
     fn apply(&mut self, offset: u64, data: &[u8]) -> Step<Self::Fate>;
 
-    /// Encodes the whole state for a snapshot.
+    /// Encodes the state for a snapshot.
     fn encode(&self) -> Vec<u8>;
 
     /// Decodes a state that [`Fold::encode`] wrote.
     ///
     /// # Errors
-    /// When the bytes are no encoded state.
+    /// When the bytes do not decode as a state.
     fn decode(data: &[u8]) -> anyhow::Result<Self>;
 
-    /// The snapshot chunk that a record carries, if it is one.
+    /// Returns the snapshot chunk in a record, if the record is one.
     ///
-    /// A replica that has no state yet asks this of every record. Override it
-    /// where a look at the record is cheaper than folding it.
+    /// A replica that is waiting for a snapshot calls this for every record. Override it
+    /// if detecting a chunk is cheaper than applying the record to an empty state.
     #[must_use]
     fn chunk(offset: u64, data: &[u8]) -> Option<SnapshotChunk> {
         match Self::empty().apply(offset, data) {
@@ -38,13 +38,13 @@
     }
 }
 
-/// Result of folding one record.
+/// Result of applying one record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step<F> {
-    /// The record was decided.
+    /// The record was applied or rejected, with this outcome.
     Fate(F),
-    /// The record is a snapshot chunk, which stands alone in its record.
+    /// The record consists of a snapshot chunk only.
     Snapshot(SnapshotChunk),
-    /// The record can't be read; every replica passes over it alike.
+    /// The record can't be decoded; every replica skips it.
     Malformed,
 }
--- a/crates/log/src/http.rs
+++ b/crates/log/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's log service over HTTP.
+//! HTTP client of the platform's log service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,20 +18,21 @@
 
 use crate::{Log, LogError};
 
-/// Most bytes taken of one answer.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const MAX_BODY: usize = 64 * 1024 * 1024;
 
-/// Connections kept open while idle: a follower and some appends at once.
-const MAX_IDLE: usize = 8;
+/// Maximum number of idle connections kept open: enough for a follower and several
+/// concurrent appends.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Characters of a stream name that stand as they are in a path.
-const PATH_SET: &AsciiSet = &NON_ALPHANUMERIC
+/// Characters of a stream name that are percent-encoded in a path.
+const PATH_ESCAPES: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'_')
     .remove(b'.')
     .remove(b'~');
 
-/// Client of the log service at one address.
+/// HTTP client of the log service at one address.
 #[derive(Debug)]
 pub struct HttpLog {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -50,27 +51,27 @@
     first: u64,
 }
 
-/// What came back of a call.
-struct Answer {
+/// The response to a call; `body` is an error if it could not be read in full.
+struct CallResponse {
     status: StatusCode,
     body: Result<Bytes, String>,
 }
 
 impl HttpLog {
-    /// A client of the log at `address` that calls itself `name`.
+    /// Creates a client of the log at `address` that sends `name` as its user agent.
     ///
-    /// A call is given up after `timeout` (a read after its wait and `timeout`).
-    /// Connections are made when they are first needed.
+    /// A call times out after `timeout`, a read after its wait plus `timeout`.
+    /// Connections are opened when they are first needed.
     #[must_use]
     pub fn open(address: SocketAddr, name: &str, timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // Well before the call's own end, so that a connection that can't be made
-        // is told apart from an answer that does not come.
+        // Well below the call's own timeout, so that a failure to connect can be told
+        // from a missing response.
         connector.set_connect_timeout(Some(timeout / 2));
 
         let client = Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(MAX_IDLE)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .build(connector);
         Self {
             client,
@@ -80,8 +81,8 @@
         }
     }
 
-    fn path(&self, stream: &StreamName) -> String {
-        let name = utf8_percent_encode(stream.as_str(), PATH_SET);
+    fn url(&self, stream: &StreamName) -> String {
+        let name = utf8_percent_encode(stream.as_str(), PATH_ESCAPES);
         format!("{}{name}", self.base)
     }
 
@@ -91,7 +92,7 @@
         uri: String,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Answer, LogError> {
+    ) -> Result<CallResponse, LogError> {
         let request = Request::builder()
             .method(method)
             .uri(uri)
@@ -106,7 +107,7 @@
         };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
-            Err(_elapsed) => Err(LogError::Unknown(format!("no answer in {timeout:?}"))),
+            Err(_elapsed) => Err(LogError::Unknown(format!("no response in {timeout:?}"))),
         }
     }
 }
@@ -114,15 +115,15 @@
 #[async_trait]
 impl Log for HttpLog {
     async fn append(&self, stream: &StreamName, data: Bytes) -> Result<u64, LogError> {
-        let uri = self.path(stream);
-        let answer = self.call(Method::POST, uri, data, self.timeout).await?;
-        if answer.status != StatusCode::OK {
-            return Err(refusal(&answer));
+        let uri = self.url(stream);
+        let response = self.call(Method::POST, uri, data, self.timeout).await?;
+        if response.status != StatusCode::OK {
+            return Err(error_of(&response));
         }
 
-        // The status says that the record was taken, so a broken body leaves only
-        // the offset unknown.
-        let body = answer.body.map_err(LogError::Unknown)?;
+        // The status says that the record was appended, so only the offset is unknown if
+        // the body is invalid.
+        let body = response.body.map_err(LogError::Unknown)?;
         match serde_json::from_slice::<Appended>(&body) {
             Ok(appended) => Ok(appended.offset),
             Err(error) => Err(LogError::Unknown(error.to_string())),
@@ -136,35 +137,35 @@
         max: u32,
         wait: Duration,
     ) -> Result<LogPage, LogError> {
-        let path = self.path(stream);
+        let url = self.url(stream);
         let wait_ms = wait.as_millis();
-        let uri = format!("{path}?from={from}&max={max}&wait_ms={wait_ms}");
+        let uri = format!("{url}?from={from}&max={max}&wait_ms={wait_ms}");
         let timeout = wait.saturating_add(self.timeout);
         let called = self.call(Method::GET, uri, Bytes::new(), timeout).await;
-        let answer = called.map_err(without_effect)?;
-        if answer.status != StatusCode::OK {
-            return Err(without_effect(refusal(&answer)));
+        let response = called.map_err(read_error)?;
+        if response.status != StatusCode::OK {
+            return Err(read_error(error_of(&response)));
         }
 
-        let body = answer.body.map_err(LogError::Unavailable)?;
+        let body = response.body.map_err(LogError::Unavailable)?;
         LogPage::decode(body).map_err(|error| LogError::Protocol(error.to_string()))
     }
 }
 
-async fn receive(response: Response<hyper::body::Incoming>) -> Answer {
+async fn receive(response: Response<hyper::body::Incoming>) -> CallResponse {
     let (head, body) = response.into_parts();
-    let limited = Limited::new(body, MAX_ANSWER);
+    let limited = Limited::new(body, MAX_BODY);
     let body = match limited.collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) => Err(error.to_string()),
     };
-    Answer {
+    CallResponse {
         status: head.status,
         body,
     }
 }
 
-/// A request that found no connection was certainly not sent.
+/// Maps a failed request: without a connection it was certainly not sent.
 fn classify(error: &hyper_util::client::legacy::Error) -> LogError {
     let detail = on_one_line(error);
     if error.is_connect() {
@@ -174,12 +175,12 @@
     }
 }
 
-/// The error of an answer whose status is not 200.
-fn refusal(answer: &Answer) -> LogError {
-    let status = answer.status;
+/// Returns the error of a response whose status is not 200.
+fn error_of(response: &CallResponse) -> LogError {
+    let status = response.status;
     let detail = format!("status {status}");
     if status == StatusCode::GONE {
-        let body = answer.body.as_deref().unwrap_or_default();
+        let body = response.body.as_deref().unwrap_or_default();
         return match serde_json::from_slice::<Trimmed>(body) {
             Ok(trimmed) => LogError::Trimmed {
                 first: trimmed.first,
@@ -197,8 +198,8 @@
     LogError::Unknown(detail)
 }
 
-/// A read changes nothing, so no doubt is left about its effect.
-fn without_effect(error: LogError) -> LogError {
+/// Maps the error of a read, which has no effect that could be in doubt.
+fn read_error(error: LogError) -> LogError {
     match error {
         LogError::Unknown(detail) => LogError::Unavailable(detail),
         other => other,
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,15 +1,15 @@
-//! Client of the platform's log, and the replica that folds a stream of it.
+//! Client of the platform's log, and the replica of a stream's state.
 //!
-//! [`Log`] is the border to the log service: [`HttpLog`] speaks its HTTP
-//! interface and [`MemLog`] keeps streams in memory for tests and benches.
-//! [`Replica`] decides without I/O how the records of one stream become a state:
-//! it drops duplicates, sees gaps, and starts from a [`snapshot`] when the log no
-//! longer keeps the oldest records. [`Backoff`] spaces out retries.
+//! [`Log`] is the interface of the log service: [`HttpLog`] implements it over HTTP and
+//! [`MemLog`] in memory, for tests and benchmarks. [`Replica`] turns the records of one
+//! stream into a state without doing I/O: it drops duplicates, detects gaps, and starts
+//! from a [`snapshot`] when the log has trimmed the oldest records. [`Backoff`] computes
+//! the delays between retries.
 //!
-//! A process reads pages from a [`Log`] and feeds them to a [`Replica`], which applies
-//! each record to a [`Fold`], the state that the stream stands for; what became of the
-//! record comes back as the fold's fate. Reading order: `service`, `fold`, `replica`
-//! with `buffer` and `snapshot`, then `http`.
+//! A process reads pages from a [`Log`] and feeds them to a [`Replica`]. The replica
+//! applies each record to a [`Fold`], the state machine of the stream, and returns the
+//! record's outcome, its fate. Reading order: `service`, `fold`, `replica` with `buffer`
+//! and `snapshot`, then `http`.
 
 mod backoff;
 mod buffer;
--- a/crates/log/src/mem.rs
+++ b/crates/log/src/mem.rs
@@ -1,4 +1,4 @@
-//! A log in memory with a fault switch, for tests and benches.
+//! An in-memory log with fault injection, for tests and benchmarks.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,21 +12,22 @@
 
 use crate::{Log, LogError};
 
-/// How a [`MemLog`] fails.
+/// The fault that a [`MemLog`] simulates.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Appends and reads are refused without effect.
+    /// Appends and reads fail without effect.
     Outage,
-    /// Appends take effect, but their answers are lost.
+    /// Appends take effect, but their responses are lost.
     LoseAnswers,
-    /// Appends are lost on the way there, and the caller can't tell.
+    /// Appends are lost before they take effect, which the caller can't distinguish from
+    /// a lost response.
     LoseRequests,
 }
 
-/// Streams kept in memory.
+/// A log that keeps its streams in memory.
 #[derive(Debug)]
 pub struct MemLog {
     inner: Mutex<Inner>,
@@ -36,8 +37,8 @@
 #[derive(Debug, Default)]
 struct Inner {
     fault: Fault,
-    /// Calls that the fault still hits; `None`: all.
-    hits: Option<u32>,
+    /// Number of calls that will still fail; `None` means all.
+    remaining: Option<u32>,
     streams: HashMap<StreamName, Stream>,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl MemLog {
-    /// A log without records.
+    /// Creates a log without records.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -57,31 +58,31 @@
         }
     }
 
-    /// Fails in this way until told otherwise.
+    /// Injects a fault until another is set.
     pub fn set_fault(&self, fault: Fault) {
         let mut inner = self.lock();
         inner.fault = fault;
-        inner.hits = None;
+        inner.remaining = None;
         self.changed.send_replace(());
     }
 
-    /// Fails in this way for the next `calls` appends and reads that it concerns.
+    /// Injects a fault into the next `calls` appends and reads that it affects.
     pub fn fail_next(&self, fault: Fault, calls: u32) {
         let mut inner = self.lock();
         inner.fault = fault;
-        inner.hits = Some(calls);
+        inner.remaining = Some(calls);
         self.changed.send_replace(());
     }
 
-    /// Forgets the records of a stream before `first`.
+    /// Drops the records of a stream before `first`.
     pub fn trim(&self, stream: &StreamName, first: u64) {
         let mut inner = self.lock();
         let stream = inner.streams.entry(stream.clone()).or_default();
-        let drop = first.saturating_sub(stream.first);
-        let drop = usize::try_from(drop).unwrap_or(usize::MAX);
-        let drop = drop.min(stream.records.len());
-        stream.records.drain(..drop);
-        stream.first += drop as u64;
+        let count = first.saturating_sub(stream.first);
+        let count = usize::try_from(count).unwrap_or(usize::MAX);
+        let count = count.min(stream.records.len());
+        stream.records.drain(..count);
+        stream.first += count as u64;
     }
 
     /// Offset that the next append to a stream will get.
@@ -91,13 +92,13 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Every change is whole before the guard is dropped.
+        // A poisoned lock is usable: no change is left half done when a guard is dropped.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn page(&self, stream: &StreamName, from: u64, max: u32) -> Result<LogPage, LogError> {
         let mut inner = self.lock();
-        if inner.strikes(&[Fault::Outage]).is_some() {
+        if inner.take_fault(&[Fault::Outage]).is_some() {
             return Err(LogError::Unavailable("outage".to_owned()));
         }
         match inner.streams.get(stream) {
@@ -114,16 +115,16 @@
 }
 
 impl Inner {
-    /// The fault in force if it is one of `kinds`; counts the call.
-    fn strikes(&mut self, kinds: &[Fault]) -> Option<Fault> {
+    /// Returns the current fault if it is one of `kinds`, and counts the call.
+    fn take_fault(&mut self, kinds: &[Fault]) -> Option<Fault> {
         if !kinds.contains(&self.fault) {
             return None;
         }
-        match &mut self.hits {
+        match &mut self.remaining {
             None => Some(self.fault),
             Some(0) => None,
-            Some(hits) => {
-                *hits -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 Some(self.fault)
             }
         }
@@ -162,10 +163,10 @@
     async fn append(&self, stream: &StreamName, data: Bytes) -> Result<u64, LogError> {
         let mut inner = self.lock();
         let kinds = [Fault::Outage, Fault::LoseAnswers, Fault::LoseRequests];
-        let fault = inner.strikes(&kinds);
+        let fault = inner.take_fault(&kinds);
         match fault {
             Some(Fault::Outage) => return Err(LogError::Unavailable("outage".to_owned())),
-            Some(Fault::LoseRequests) => return Err(LogError::Unknown("no answer".to_owned())),
+            Some(Fault::LoseRequests) => return Err(LogError::Unknown("no response".to_owned())),
             Some(Fault::LoseAnswers | Fault::None) | None => {}
         }
 
@@ -175,7 +176,7 @@
         self.changed.send_replace(());
 
         if fault.is_some() {
-            return Err(LogError::Unknown("answer lost".to_owned()));
+            return Err(LogError::Unknown("response lost".to_owned()));
         }
         Ok(offset)
     }
--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -1,9 +1,9 @@
-//! A copy of the state that one stream folds to. Does no I/O.
+//! A replica of the state that the records of one stream produce. Does no I/O.
 //!
-//! The replica starts from offset 0 while the log keeps it. Otherwise, and after
-//! a gap, it buffers records until it has seen a whole snapshot whose later
-//! records are all in the buffer; then it replays those. The state in force is
-//! replaced only by a later one, so it never goes back.
+//! The replica starts from offset 0 if the log still keeps it. Otherwise, and after a
+//! gap, it buffers records until it has a complete snapshot and all records that follow
+//! the snapshot; then it loads the snapshot and replays those records. The current state
+//! is replaced only by a later one, so it never goes back.
 
 use swiftlink_wire::log::{LogRecord, SnapshotChunk};
 
@@ -11,46 +11,47 @@
 use crate::snapshot::{Collected, Collector, Snapshot};
 use crate::{Fold, Step};
 
-/// Why a page was not taken.
+/// Why a page was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
-    /// The page leaves out a record that the log still keeps; read again from
-    /// [`Replica::next`]. Nothing was folded.
+    /// The page omits a record that the log still keeps; read again from
+    /// [`Replica::next`]. No record was applied.
     #[error("page starts at offset {found}, expected {expected}")]
     Hole {
         /// Offset to read next.
         expected: u64,
-        /// First offset found after it.
+        /// Offset of the page's first record that is not before `expected`.
         found: u64,
     },
 }
 
-/// Counts of what a replica met. All of them only grow.
+/// Monotonic counters of a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaStats {
-    /// Records that the fold could not read.
+    /// Records that the fold could not decode.
     pub malformed: u64,
-    /// Snapshots that were refused: wrong hash, undecodable, or from the future.
-    pub broken: u64,
-    /// Times that records were lost to trimming before they were read.
+    /// Snapshots and chunks that were rejected: inconsistent, with a wrong hash,
+    /// undecodable, or of an offset that is not before the chunk itself.
+    pub invalid: u64,
+    /// Number of times that records were trimmed before they were read.
     pub gaps: u64,
-    /// States loaded from a snapshot.
+    /// Snapshots loaded.
     pub loads: u64,
 }
 
-/// Folds the records of one stream, whatever the paging and the duplicates.
+/// Applies the records of one stream in order, for any paging and with duplicates.
 #[derive(Debug)]
 pub struct Replica<F: Fold> {
     next: u64,
     state: Option<F>,
-    /// Offset after the last record that `state` holds.
+    /// Offset after the last record applied to `state`.
     applied: u64,
     /// Set while records are missing between `state` and `next`.
     loading: Option<Buffer>,
     collector: Collector,
-    /// Offset of the newest whole snapshot.
+    /// Offset of the newest complete snapshot.
     newest: Option<u64>,
-    /// Offsets of the snapshot chunks after the newest whole snapshot's offset.
+    /// Offsets of the snapshot chunks after the offset of the newest complete snapshot.
     chunks: Vec<u64>,
     stats: ReplicaStats,
 }
@@ -58,7 +59,7 @@
 type Fates<F> = Vec<(u64, <F as Fold>::Fate)>;
 
 impl<F: Fold> Replica<F> {
-    /// A replica that has read nothing.
+    /// Creates a replica that has read nothing.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -79,30 +80,32 @@
         self.next
     }
 
-    /// Whether the state holds every record before [`Replica::next`].
+    /// Whether every record before [`Replica::next`] is applied to the state.
     ///
-    /// Not before the first page was fed. A reader that must know the log's whole
-    /// content compares [`Replica::next`] with the end of the log besides.
+    /// False until the first page is fed. A reader that needs the whole content of the
+    /// log must also compare [`Replica::next`] with the end of the log.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state.is_some() && self.loading.is_none()
     }
 
-    /// The last state in force, also while a later one is loaded after a gap.
+    /// The current state, which remains available while a later one is loaded after a
+    /// gap.
     ///
-    /// `None` before the first page and while the first state is loaded.
+    /// `None` before the first page and until the first state is loaded.
     #[must_use]
     pub fn state(&self) -> Option<&F> {
         self.state.as_ref()
     }
 
-    /// Offset after the last record that [`Replica::state`] holds.
+    /// Offset after the last record applied to [`Replica::state`].
     #[must_use]
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Records read since the newest whole snapshot, its chunks not counted.
+    /// Number of records after the offset of the newest complete snapshot, without
+    /// snapshot chunks.
     #[must_use]
     pub fn since_snapshot(&self) -> u64 {
         let from = self.newest.map_or(0, |offset| offset + 1);
@@ -110,24 +113,23 @@
         records.saturating_sub(self.chunks.len() as u64)
     }
 
-    /// Offset of the newest whole snapshot seen.
+    /// Offset of the newest complete snapshot.
     #[must_use]
     pub fn newest_snapshot(&self) -> Option<u64> {
         self.newest
     }
 
-    /// Counts of what the replica met.
+    /// Counters of the replica.
     #[must_use]
     pub fn stats(&self) -> ReplicaStats {
         self.stats
     }
 
-    /// Takes a page; `first` is the oldest offset that its sender keeps.
+    /// Processes a page; `first` is the oldest offset that its sender keeps.
     ///
-    /// Returns the fates of the records that came into force, in offset order.
-    /// Records before [`Replica::next`] are ignored, and so is what follows a hole.
-    /// When the log answers that the offset was trimmed, feed the new `first`
-    /// with no records.
+    /// Returns the fates of the records applied, in offset order. Ignores records before
+    /// [`Replica::next`] and those after a missing record. When the log responds that
+    /// the offset was trimmed, call this with the new `first` and no records.
     ///
     /// # Errors
     /// When the page begins after [`Replica::next`] although `first` does not.
@@ -137,9 +139,9 @@
         records: &[LogRecord],
     ) -> Result<Vec<(u64, F::Fate)>, ReplicaError> {
         if first > self.next {
-            self.reload(first);
+            self.start_loading(first);
         } else if self.state.is_none() && self.loading.is_none() {
-            // The log still has offset 0, so the empty state is the true one.
+            // The log still keeps offset 0, so the empty state is correct.
             self.state = Some(F::empty());
         }
 
@@ -159,7 +161,7 @@
                 });
             }
             self.next += 1;
-            self.take(record, &mut fates);
+            self.process(record, &mut fates);
         }
 
         if let Some(buffer) = &mut self.loading {
@@ -168,16 +170,16 @@
         Ok(fates)
     }
 
-    /// Records before `first` are lost: from here on a snapshot is needed.
-    fn reload(&mut self, first: u64) {
+    /// Starts over at `first`: earlier records are lost, so a snapshot is needed.
+    fn start_loading(&mut self, first: u64) {
         self.stats.gaps += 1;
         self.next = first;
         self.loading = Some(Buffer::new(first));
     }
 
-    fn take(&mut self, record: &LogRecord, fates: &mut Fates<F>) {
+    fn process(&mut self, record: &LogRecord, fates: &mut Fates<F>) {
         let Some(buffer) = &mut self.loading else {
-            self.fold(record.offset, &record.data, fates);
+            self.apply(record.offset, &record.data, fates);
             return;
         };
 
@@ -191,7 +193,7 @@
         }
     }
 
-    fn fold(&mut self, offset: u64, data: &[u8], fates: &mut Fates<F>) {
+    fn apply(&mut self, offset: u64, data: &[u8], fates: &mut Fates<F>) {
         let state = self.state.as_mut().expect("a ready replica has a state");
         let step = state.apply(offset, data);
         self.applied = offset + 1;
@@ -205,11 +207,12 @@
         }
     }
 
+    /// Adds the chunk in the record at `at`; returns the snapshot that it completes.
     fn collect(&mut self, at: u64, chunk: SnapshotChunk) -> Option<Snapshot> {
         self.chunks.push(at);
         if chunk.offset >= at {
-            // No writer knows the state after a record that was not yet written.
-            self.stats.broken += 1;
+            // No writer can know the state after a record that is not written yet.
+            self.stats.invalid += 1;
             return None;
         }
         if self.newest.is_some_and(|newest| chunk.offset <= newest) {
@@ -218,23 +221,24 @@
 
         match self.collector.add(chunk) {
             Collected::Partial => None,
-            Collected::Broken => {
-                self.stats.broken += 1;
+            Collected::Invalid => {
+                self.stats.invalid += 1;
                 None
             }
-            Collected::Whole(snapshot) => {
-                self.note(snapshot.offset);
+            Collected::Complete(snapshot) => {
+                self.set_newest(snapshot.offset);
                 Some(snapshot)
             }
         }
     }
 
-    fn note(&mut self, offset: u64) {
+    fn set_newest(&mut self, offset: u64) {
         self.newest = Some(offset);
         self.chunks.retain(|chunk| *chunk > offset);
         self.collector.forget(offset);
     }
 
+    /// Loads a snapshot and replays the buffered records after it.
     fn load(&mut self, snapshot: Snapshot, fates: &mut Fates<F>) {
         let Some(buffer) = self.loading.take() else {
             return;
@@ -245,7 +249,7 @@
             return;
         }
         let Ok(state) = F::decode(&snapshot.state) else {
-            self.stats.broken += 1;
+            self.stats.invalid += 1;
             self.loading = Some(buffer);
             return;
         };
@@ -254,7 +258,7 @@
         self.stats.loads += 1;
         self.applied = after;
         for (offset, data) in buffer.after(snapshot.offset) {
-            self.fold(offset, data, fates);
+            self.apply(offset, data, fates);
         }
         self.applied = self.next;
     }
--- a/crates/log/src/service.rs
+++ b/crates/log/src/service.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's log service.
+//! The interface of the platform's log service.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use swiftlink_types::StreamName;
 use swiftlink_wire::log::LogPage;
 
-/// An append-only log of named streams with dense offsets from 0.
+/// An append-only log of named streams, whose records have consecutive offsets from 0.
 #[async_trait]
 pub trait Log: Send + Sync + 'static {
     /// Appends one record and returns its offset.
     ///
     /// # Errors
-    /// [`LogError::Unknown`] when the record may have been appended all the same;
-    /// after any other error it certainly was not.
+    /// [`LogError::Unknown`] when the record may have been appended nevertheless; after
+    /// any other error it certainly was not.
     async fn append(&self, stream: &StreamName, data: Bytes) -> Result<u64, LogError>;
 
-    /// Reads at most `max` records from offset `from` on.
+    /// Reads up to `max` records from offset `from` on.
     ///
-    /// Waits up to `wait` for a first record; the page is empty when none came.
+    /// Waits up to `wait` for the first record; the page is empty if there is none.
     ///
     /// # Errors
-    /// [`LogError::Trimmed`] when `from` is older than what the log keeps. A read
-    /// has no effect, so every failure of the transport is [`LogError::Unavailable`].
+    /// [`LogError::Trimmed`] when the log has trimmed `from`. A read has no effect, so
+    /// every transport failure is [`LogError::Unavailable`].
     async fn read(
         &self,
         stream: &StreamName,
@@ -33,22 +33,22 @@
     ) -> Result<LogPage, LogError>;
 }
 
-/// Why the log did not answer a call as asked.
+/// Why a call to the log failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The log is out; the call certainly had no effect.
-    #[error("log is out: {0}")]
+    /// The log is unavailable; the call certainly had no effect.
+    #[error("log is unavailable: {0}")]
     Unavailable(String),
-    /// No usable answer; the call may have had its effect.
-    #[error("log gave no answer, the call may have taken effect: {0}")]
+    /// No usable response; the call may have taken effect.
+    #[error("no usable response from the log, the call may have taken effect: {0}")]
     Unknown(String),
-    /// The offset asked for is no longer kept.
-    #[error("log keeps records from offset {first} on only")]
+    /// The requested offset was trimmed.
+    #[error("log keeps only records from offset {first}")]
     Trimmed {
-        /// Oldest offset still kept.
+        /// Oldest offset that the log keeps.
         first: u64,
     },
-    /// The log refused the call, or its answer to a read is malformed.
+    /// The log rejected the call, or its response to a read is malformed.
     #[error("log protocol error: {0}")]
     Protocol(String),
 }
--- a/crates/log/src/snapshot.rs
+++ b/crates/log/src/snapshot.rs
@@ -1,19 +1,19 @@
-//! Snapshots of a folded state: cut into chunks, collected, checked.
+//! Snapshots of a state: split into chunks, reassembled and verified.
 
 use std::collections::BTreeMap;
 
 use sha2::{Digest, Sha256};
 use swiftlink_wire::log::SnapshotChunk;
 
-/// Most bytes of state in one chunk, well below the record limit of a log.
+/// Maximum number of bytes of state in one chunk, well below a log's record limit.
 pub const CHUNK_BYTES: usize = 256 * 1024;
 
-/// Most snapshots that are collected at once; the oldest gives way.
-pub const MAX_OPEN: usize = 8;
+/// Maximum number of snapshots collected at once; the oldest is evicted.
+pub const MAX_PARTIAL: usize = 8;
 
-/// Cuts the encoded state after the record at `offset` into chunks.
+/// Splits the encoded state after the record at `offset` into chunks.
 ///
-/// There is at least one chunk, also for an empty state.
+/// Returns at least one chunk, even for an empty state.
 #[must_use]
 pub fn split(offset: u64, state: &[u8]) -> Vec<SnapshotChunk> {
     let hash = digest(state);
@@ -35,33 +35,33 @@
     chunks
 }
 
-/// A whole snapshot whose hash was checked.
+/// A complete snapshot whose hash was verified.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Offset of the last record that the state holds.
+    /// Offset of the last record applied to the state.
     pub offset: u64,
     /// The encoded state.
     pub state: Vec<u8>,
 }
 
-/// What a chunk led to.
+/// Result of adding a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Collected {
     /// More chunks are needed.
     Partial,
-    /// The chunk was the last one missing and the hash is right.
-    Whole(Snapshot),
-    /// The chunk is senseless, or the whole does not match its hash.
-    Broken,
+    /// The chunk was the last one missing, and the hash matches.
+    Complete(Snapshot),
+    /// The chunk is inconsistent, or the complete state does not match its hash.
+    Invalid,
 }
 
-/// Collects the chunks of snapshots, which may come interleaved and repeated.
+/// Collects the chunks of snapshots, which may arrive interleaved and repeated.
 #[derive(Debug, Default)]
 pub struct Collector {
-    open: BTreeMap<SnapshotId, BTreeMap<u32, Vec<u8>>>,
+    partial: BTreeMap<SnapshotId, BTreeMap<u32, Vec<u8>>>,
 }
 
-/// Chunks with the same id belong to the same snapshot. Ordered by offset first.
+/// Identifies the snapshot that a chunk belongs to. Ordered by offset first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SnapshotId {
     offset: u64,
@@ -70,17 +70,17 @@
 }
 
 impl Collector {
-    /// A collector without chunks.
+    /// Creates a collector without chunks.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes one chunk.
+    /// Adds one chunk.
     pub fn add(&mut self, chunk: SnapshotChunk) -> Collected {
-        let sized = chunk.hash.len() == <Sha256 as Digest>::output_size();
-        if chunk.index >= chunk.count || !sized {
-            return Collected::Broken;
+        let has_hash_len = chunk.hash.len() == <Sha256 as Digest>::output_size();
+        if chunk.index >= chunk.count || !has_hash_len {
+            return Collected::Invalid;
         }
 
         let id = SnapshotId {
@@ -88,40 +88,40 @@
             count: chunk.count,
             hash: chunk.hash,
         };
-        let parts = self.open.entry(id.clone()).or_default();
-        parts.insert(chunk.index, chunk.data);
+        let chunks = self.partial.entry(id.clone()).or_default();
+        chunks.insert(chunk.index, chunk.data);
 
-        if parts.len() < id.count as usize {
+        if chunks.len() < id.count as usize {
             self.evict();
             return Collected::Partial;
         }
         self.finish(&id)
     }
 
-    /// Forgets the chunks of snapshots at or before `offset`.
+    /// Drops the chunks of snapshots at or before `offset`.
     pub fn forget(&mut self, offset: u64) {
-        self.open.retain(|id, _parts| id.offset > offset);
+        self.partial.retain(|id, _parts| id.offset > offset);
     }
 
     fn finish(&mut self, id: &SnapshotId) -> Collected {
-        let parts = self.open.remove(id).unwrap_or_default();
+        let chunks = self.partial.remove(id).unwrap_or_default();
         let mut state = Vec::new();
-        for part in parts.values() {
-            state.extend_from_slice(part);
+        for chunk in chunks.values() {
+            state.extend_from_slice(chunk);
         }
 
         if digest(&state) != id.hash {
-            return Collected::Broken;
+            return Collected::Invalid;
         }
-        Collected::Whole(Snapshot {
+        Collected::Complete(Snapshot {
             offset: id.offset,
             state,
         })
     }
 
     fn evict(&mut self) {
-        while self.open.len() > MAX_OPEN {
-            self.open.pop_first();
+        while self.partial.len() > MAX_PARTIAL {
+            self.partial.pop_first();
         }
     }
 }
--- a/crates/log/tests/common/mod.rs
+++ b/crates/log/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fold for the tests: the values seen, in order.
+//! A small fold for the tests: a hash of the list of values.
 
 use swiftlink_log::{Fold, Step};
 use swiftlink_wire::log::{LogRecord, SnapshotChunk};
@@ -9,20 +9,20 @@
 const VALUE: u8 = b'v';
 const CHUNK: u8 = b'c';
 
-/// Bytes of state in one chunk, small so that snapshots have several.
-const PART: usize = 24;
+/// Bytes of state in one chunk, small so that a snapshot has several chunks.
+const CHUNK_LEN: usize = 24;
 
-/// Folds values into a list hash that depends on their order.
+/// A hash of a list of values that depends on their order and offsets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sum {
+pub struct ListHash {
     count: u64,
     mix: u64,
 }
 
-impl Sum {
-    /// Cuts a state as `snapshot::split` does, but smaller.
+impl ListHash {
+    /// Splits a state as `snapshot::split` does, but into smaller chunks.
     pub fn split(offset: u64, state: &[u8]) -> Vec<SnapshotChunk> {
-        let parts: Vec<&[u8]> = state.chunks(PART).collect();
+        let parts: Vec<&[u8]> = state.chunks(CHUNK_LEN).collect();
         let mut chunks = Vec::new();
         for (index, part) in parts.iter().enumerate() {
             chunks.push(SnapshotChunk {
@@ -36,13 +36,13 @@
         chunks
     }
 
-    /// Whether a record's data is a value.
+    /// Whether the data of a record is a value.
     pub fn is_value(data: &[u8]) -> bool {
         data.first() == Some(&VALUE)
     }
 }
 
-impl Fold for Sum {
+impl Fold for ListHash {
     type Fate = u64;
 
     fn empty() -> Self {
@@ -66,7 +66,7 @@
     }
 
     fn encode(&self) -> Vec<u8> {
-        // Wide, so that it takes several chunks.
+        // Padded, so that it takes several chunks.
         format!("{:040}{:040}", self.count, self.mix).into_bytes()
     }
 
--- a/crates/log/tests/http.rs
+++ b/crates/log/tests/http.rs
@@ -1,4 +1,4 @@
-//! How `HttpLog` classifies what can happen to a call, against a tiny TCP server.
+//! How `HttpLog` maps responses and connection failures to errors, against a server server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,32 +14,34 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinHandle;
 
-const LONG: Duration = Duration::from_secs(10);
-const SHORT: Duration = Duration::from_millis(200);
+const LONG_TIMEOUT: Duration = Duration::from_secs(10);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the server does with each request once it has read it.
+/// What the server does after it has read a request.
 #[derive(Clone, Debug)]
-enum Answer {
+enum Response {
     Status(u16, Vec<u8>),
-    /// Promises more bytes than it sends.
-    Torn(u16),
-    Cut,
-    Silence,
+    /// Announces more bytes than it sends.
+    Truncated(u16),
+    /// Closes the connection without a response.
+    Close,
+    /// Keeps the connection open without a response.
+    Hang,
 }
 
-/// Serves one request per connection and keeps what it read.
-struct Fake {
+/// A server that handles one request per connection and records what it read.
+struct FakeServer {
     address: SocketAddr,
     seen: Arc<Mutex<Vec<String>>>,
     task: JoinHandle<()>,
 }
 
-impl Fake {
-    async fn spawn(answer: Answer) -> Self {
+impl FakeServer {
+    async fn spawn(response: Response) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
         let seen = Arc::new(Mutex::new(Vec::new()));
-        let task = tokio::spawn(serve(listener, answer, Arc::clone(&seen)));
+        let task = tokio::spawn(serve(listener, response, Arc::clone(&seen)));
         Self {
             address,
             seen,
@@ -62,23 +64,23 @@
     }
 }
 
-impl Drop for Fake {
+impl Drop for FakeServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-async fn serve(listener: TcpListener, answer: Answer, seen: Arc<Mutex<Vec<String>>>) {
-    let mut silent = Vec::new();
+async fn serve(listener: TcpListener, response: Response, seen: Arc<Mutex<Vec<String>>>) {
+    let mut hanging = Vec::new();
     while let Ok((mut socket, _from)) = listener.accept().await {
         let request = read_request(&mut socket).await;
         seen.lock().await.push(request);
-        let (status, length, body) = match &answer {
-            Answer::Status(status, body) => (*status, body.len(), body.clone()),
-            Answer::Torn(status) => (*status, 100, b"{\"off".to_vec()),
-            Answer::Cut => continue,
-            Answer::Silence => {
-                silent.push(socket);
+        let (status, length, body) = match &response {
+            Response::Status(status, body) => (*status, body.len(), body.clone()),
+            Response::Truncated(status) => (*status, 100, b"{\"off".to_vec()),
+            Response::Close => continue,
+            Response::Hang => {
+                hanging.push(socket);
                 continue;
             }
         };
@@ -92,10 +94,10 @@
     let mut text = Vec::new();
     loop {
         let read = socket.read_buf(&mut text).await.unwrap_or(0);
-        let whole = String::from_utf8_lossy(&text).into_owned();
-        let ended = whole.starts_with("GET") && whole.ends_with("\r\n\r\n");
-        if read == 0 || ended || whole.ends_with("record") {
-            return whole;
+        let request = String::from_utf8_lossy(&text).into_owned();
+        let ended = request.starts_with("GET") && request.ends_with("\r\n\r\n");
+        if read == 0 || ended || request.ends_with("record") {
+            return request;
         }
     }
 }
@@ -104,16 +106,16 @@
     StreamName::from("budget-0")
 }
 
-fn status(status: u16, body: &str) -> Answer {
-    Answer::Status(status, body.as_bytes().to_vec())
+fn status(status: u16, body: &str) -> Response {
+    Response::Status(status, body.as_bytes().to_vec())
 }
 
 #[tokio::test]
-async fn an_append_returns_the_offset_and_tells_its_name() {
-    let fake = Fake::spawn(status(200, "{\"offset\":42}")).await;
-    assert_eq!(fake.append(LONG).await, Ok(42));
+async fn an_append_returns_the_offset_and_sends_the_user_agent() {
+    let server = FakeServer::spawn(status(200, "{\"offset\":42}")).await;
+    assert_eq!(server.append(LONG_TIMEOUT).await, Ok(42));
 
-    let seen = fake.seen.lock().await.join("");
+    let seen = server.seen.lock().await.join("");
     assert!(
         seen.starts_with("POST /streams/budget-0 HTTP/1.1"),
         "{seen}"
@@ -132,24 +134,24 @@
         next: 8,
         records: vec![record],
     };
-    let fake = Fake::spawn(Answer::Status(200, page.encode_to_vec())).await;
-    assert_eq!(fake.read(LONG).await, Ok(page));
+    let server = FakeServer::spawn(Response::Status(200, page.encode_to_vec())).await;
+    assert_eq!(server.read(LONG_TIMEOUT).await, Ok(page));
 
-    let seen = fake.seen.lock().await.join("");
+    let seen = server.seen.lock().await.join("");
     let line = "GET /streams/budget-0?from=7&max=100&wait_ms=20 HTTP/1.1";
     assert!(seen.starts_with(line), "{seen}");
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_out() {
-    // Bound but not listening: the port stays ours and refuses.
+async fn a_refused_connection_is_reported_as_unavailable() {
+    // Bound but not listening: the port stays reserved and refuses connections.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
         .bind(([127, 0, 0, 1], 0).into())
         .expect("a free port");
     let address = socket.local_addr().expect("bound");
 
-    let log = HttpLog::open(address, "ledger-1", LONG);
+    let log = HttpLog::open(address, "ledger-1", LONG_TIMEOUT);
     let appended = log.append(&stream(), Bytes::from_static(b"record")).await;
     assert!(
         matches!(appended, Err(LogError::Unavailable(_))),
@@ -160,38 +162,38 @@
 }
 
 #[tokio::test]
-async fn answers_have_their_errors() {
+async fn responses_map_to_errors() {
     let cases = [
-        (Answer::Cut, "unknown", "out"),
-        (Answer::Silence, "unknown", "out"),
-        (Answer::Torn(200), "unknown", "out"),
+        (Response::Close, "unknown", "unavailable"),
+        (Response::Hang, "unknown", "unavailable"),
+        (Response::Truncated(200), "unknown", "unavailable"),
         (status(200, "nonsense"), "unknown", "protocol"),
-        (status(500, ""), "unknown", "out"),
-        (status(503, ""), "out", "out"),
-        (status(429, ""), "out", "out"),
+        (status(500, ""), "unknown", "unavailable"),
+        (status(503, ""), "unavailable", "unavailable"),
+        (status(429, ""), "unavailable", "unavailable"),
         (status(413, ""), "protocol", "protocol"),
         (status(410, "{\"first\":12}"), "trimmed 12", "trimmed 12"),
         (status(410, "nonsense"), "protocol", "protocol"),
     ];
-    for (answer, append, read) in cases {
-        let wait = match answer {
-            Answer::Silence => SHORT,
-            _ => LONG,
+    for (response, append, read) in cases {
+        let timeout = match response {
+            Response::Hang => SHORT_TIMEOUT,
+            _ => LONG_TIMEOUT,
         };
-        let fake = Fake::spawn(answer.clone()).await;
-        let appended = fake.append(wait).await.map(|_offset| ());
-        let found = fake.read(wait).await.map(|_page| ());
-        assert_eq!(kind(appended), append, "append at {answer:?}");
-        assert_eq!(kind(found), read, "read at {answer:?}");
-        let seen = fake.seen.lock().await.len();
-        assert_eq!(seen, 2, "{answer:?} made a call be sent again");
+        let server = FakeServer::spawn(response.clone()).await;
+        let append_result = server.append(timeout).await.map(|_offset| ());
+        let read_result = server.read(timeout).await.map(|_page| ());
+        assert_eq!(kind(append_result), append, "append at {response:?}");
+        assert_eq!(kind(read_result), read, "read at {response:?}");
+        let seen = server.seen.lock().await.len();
+        assert_eq!(seen, 2, "a call was retried after {response:?}");
     }
 }
 
 fn kind(result: Result<(), LogError>) -> String {
     match result {
-        Ok(()) => "taken".to_owned(),
-        Err(LogError::Unavailable(_)) => "out".to_owned(),
+        Ok(()) => "ok".to_owned(),
+        Err(LogError::Unavailable(_)) => "unavailable".to_owned(),
         Err(LogError::Unknown(_)) => "unknown".to_owned(),
         Err(LogError::Protocol(_)) => "protocol".to_owned(),
         Err(LogError::Trimmed { first }) => format!("trimmed {first}"),
--- a/crates/log/tests/replica.rs
+++ b/crates/log/tests/replica.rs
@@ -1,13 +1,13 @@
-//! The replica folds a stream whatever the paging, duplicates, gaps and snapshots.
+//! The replica gives the right state for any paging, duplicates, gaps and snapshots.
 
 mod common;
 
-use common::{Sum, chunk_record, record, value_record};
+use common::{ListHash, chunk_record, record, value_record};
 use proptest::prelude::*;
 use swiftlink_log::{Fold, Replica, ReplicaError, snapshot};
 use swiftlink_wire::log::LogRecord;
 
-/// What one entry of a generated log is.
+/// One entry of a generated log.
 #[derive(Debug, Clone)]
 enum Entry {
     Value(u64),
@@ -15,15 +15,16 @@
     Snapshot {
         back: u64,
     },
-    /// As a snapshot, but one byte of its state is wrong.
+    /// A snapshot in whose state one byte is wrong.
     Corrupt {
         back: u64,
     },
-    /// Only the first chunk of a snapshot.
-    Torn {
+    /// The first chunk of a snapshot only.
+    Incomplete {
         back: u64,
     },
-    Garbage,
+    /// A record that does not decode.
+    Malformed,
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -31,8 +32,8 @@
         6 => (1..1000_u64).prop_map(Entry::Value),
         1 => (1..20_u64).prop_map(|back| Entry::Snapshot { back }),
         1 => (1..20_u64).prop_map(|back| Entry::Corrupt { back }),
-        1 => (1..20_u64).prop_map(|back| Entry::Torn { back }),
-        1 => Just(Entry::Garbage),
+        1 => (1..20_u64).prop_map(|back| Entry::Incomplete { back }),
+        1 => Just(Entry::Malformed),
     ]
 }
 
@@ -45,22 +46,22 @@
         match entry {
             Entry::Value(value) => {
                 log.push(value_record(end, *value));
-                // A chunk of whatever snapshot is being written, last one first.
+                // One chunk of the snapshots being written, the last chunk first.
                 if let Some(mut chunk) = queued.pop() {
                     chunk.offset = end + 1;
                     log.push(chunk);
                 }
             }
-            Entry::Garbage => log.push(record(end, b"?")),
-            Entry::Snapshot { back } | Entry::Corrupt { back } | Entry::Torn { back } => {
+            Entry::Malformed => log.push(record(end, b"?")),
+            Entry::Snapshot { back } | Entry::Corrupt { back } | Entry::Incomplete { back } => {
                 let Some(at) = end.checked_sub(*back) else {
                     continue;
                 };
-                let state = fold(&log[..=at as usize]).encode();
-                let mut chunks = Sum::split(at, &state);
+                let state = final_state(&log[..=at as usize]).encode();
+                let mut chunks = ListHash::split(at, &state);
                 match entry {
                     Entry::Corrupt { .. } => chunks[0].data[0] ^= 1,
-                    Entry::Torn { .. } => chunks.truncate(1),
+                    Entry::Incomplete { .. } => chunks.truncate(1),
                     _ => {}
                 }
                 queued.extend(chunks.into_iter().map(|chunk| chunk_record(0, chunk)));
@@ -74,18 +75,19 @@
     log
 }
 
-fn fold(log: &[LogRecord]) -> Sum {
-    let mut sum = Sum::empty();
+fn final_state(log: &[LogRecord]) -> ListHash {
+    let mut state = ListHash::empty();
     for record in log {
-        sum.apply(record.offset, &record.data);
+        state.apply(record.offset, &record.data);
     }
-    sum
+    state
 }
 
-/// Feeds pages of drawn sizes, each starting up to `overlap` before the next offset
-/// and each record twice. Returns the offsets of the fates.
+/// Feeds pages of the given sizes and overlaps, each with all its records twice. A page
+/// starts up to `overlap` records before the next offset. Returns the offsets of the
+/// fates.
 fn feed_all(
-    replica: &mut Replica<Sum>,
+    replica: &mut Replica<ListHash>,
     log: &[LogRecord],
     first: usize,
     pages: &[(usize, usize)],
@@ -106,21 +108,21 @@
         fates.extend(decided.into_iter().map(|(offset, _fate)| offset));
         assert!(replica.applied() >= before, "the state went back");
         if let Some(state) = replica.state() {
-            assert_eq!(*state, fold(&log[..replica.applied() as usize]));
+            assert_eq!(*state, final_state(&log[..replica.applied() as usize]));
         }
     }
     fates
 }
 
-/// Whether a whole, true snapshot that can be replayed from stands after `first`.
-fn startable(log: &[LogRecord], first: usize) -> bool {
+/// Whether the log from `first` on has a complete, valid snapshot to start from.
+fn has_usable_snapshot(log: &[LogRecord], first: usize) -> bool {
     let mut collector = snapshot::Collector::new();
     for record in &log[first..] {
-        let Some(chunk) = Sum::chunk(record.offset, &record.data) else {
+        let Some(chunk) = ListHash::chunk(record.offset, &record.data) else {
             continue;
         };
-        if let snapshot::Collected::Whole(whole) = collector.add(chunk)
-            && whole.offset + 1 >= first as u64
+        if let snapshot::Collected::Complete(complete) = collector.add(chunk)
+            && complete.offset + 1 >= first as u64
         {
             return true;
         }
@@ -131,9 +133,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1000))]
 
-    // Reads up to `stop`, then the log is trimmed to `first` and read to its end.
+    // Reads up to `stop`, then trims the log to `first` and reads to its end. The state
+    // must be that of all records, or of those read before if there is no usable snapshot.
     #[test]
-    fn any_paging_and_trimming_gives_the_fold_from_zero_or_what_was_read(
+    fn any_paging_and_trimming_gives_the_state_of_the_applied_records(
         entries in prop::collection::vec(entry(), 1..60),
         pages in prop::collection::vec((1..9_usize, 0..5_usize), 1..8),
         stop in prop_oneof![Just(0.0), 0.0..1.0_f64],
@@ -143,27 +146,27 @@
         let log = build(&entries);
         let stop = (log.len() as f64 * stop) as usize;
         let first = (log.len() as f64 * trim) as usize;
-        let mut replica = Replica::<Sum>::new();
+        let mut replica = Replica::<ListHash>::new();
         let mut fates = Vec::new();
         if fed || stop > 0 {
             fates = feed_all(&mut replica, &log[..stop], 0, &pages);
         }
         fates.extend(feed_all(&mut replica, &log, first, &pages));
 
-        let ready = first <= stop || startable(&log, first);
+        let ready = first <= stop || has_usable_snapshot(&log, first);
         prop_assert_eq!(replica.is_ready(), ready);
         prop_assert_eq!(replica.next(), log.len() as u64);
-        let known = if ready { log.len() } else { stop };
+        let applied = if ready { log.len() } else { stop };
         if fed || stop > 0 || ready {
-            prop_assert_eq!(replica.state(), Some(&fold(&log[..known])));
+            prop_assert_eq!(replica.state(), Some(&final_state(&log[..applied])));
         } else {
             prop_assert_eq!(replica.state(), None);
         }
 
-        // Fates come once each, in order, and whole where there was no gap.
+        // Each fate is returned once and in order, and none is missing without a gap.
         prop_assert!(fates.is_sorted_by(|one, two| one < two));
         if first <= stop {
-            let values = log.iter().filter(|record| Sum::is_value(&record.data));
+            let values = log.iter().filter(|record| ListHash::is_value(&record.data));
             let expected: Vec<u64> = values.map(|record| record.offset).collect();
             prop_assert_eq!(fates, expected);
         }
@@ -175,8 +178,8 @@
 }
 
 #[test]
-fn a_hole_is_refused_and_changes_nothing() {
-    let mut replica = Replica::<Sum>::new();
+fn a_page_with_a_hole_is_rejected_without_effect() {
+    let mut replica = Replica::<ListHash>::new();
     replica.feed(0, &values(0..3)).expect("no hole");
     let hole = replica.feed(0, &values(5..7)).expect_err("a hole");
     assert_eq!(
@@ -191,17 +194,17 @@
 }
 
 #[test]
-fn what_follows_a_hole_inside_a_page_is_ignored() {
+fn records_after_a_hole_inside_a_page_are_ignored() {
     let mut page = values(0..3);
     page.extend(values(4..6));
-    let mut replica = Replica::<Sum>::new();
-    assert_eq!(replica.feed(0, &page).expect("a start").len(), 3);
+    let mut replica = Replica::<ListHash>::new();
+    assert_eq!(replica.feed(0, &page).expect("valid records").len(), 3);
     assert_eq!(replica.next(), 3);
 }
 
 #[test]
-fn nothing_is_ready_before_the_first_page() {
-    let mut replica = Replica::<Sum>::new();
+fn a_replica_is_not_ready_before_the_first_page() {
+    let mut replica = Replica::<ListHash>::new();
     assert!(!replica.is_ready() && replica.state().is_none());
     replica.feed(7, &[]).expect("no hole");
     assert!(!replica.is_ready() && replica.state().is_none());
@@ -209,62 +212,62 @@
 }
 
 #[test]
-fn a_snapshot_of_the_future_is_refused() {
+fn a_snapshot_of_a_later_offset_is_rejected() {
     let mut log = values(10..12);
-    let state = fold(&values(0..90)).encode();
-    for chunk in Sum::split(90, &state) {
+    let state = final_state(&values(0..90)).encode();
+    for chunk in ListHash::split(90, &state) {
         log.push(chunk_record(log.len() as u64 + 10, chunk));
     }
-    let mut replica = Replica::<Sum>::new();
+    let mut replica = Replica::<ListHash>::new();
     replica.feed(10, &log).expect("no hole");
     assert!(!replica.is_ready());
-    assert!(replica.stats().broken > 0);
+    assert!(replica.stats().invalid > 0);
 }
 
 #[test]
-fn a_snapshot_that_does_not_decode_is_refused() {
+fn a_snapshot_that_does_not_decode_is_rejected() {
     let mut log = values(10..12);
-    for chunk in Sum::split(11, b"no state at all, but hashed well") {
+    for chunk in ListHash::split(11, b"no state at all, but hashed well") {
         log.push(chunk_record(log.len() as u64 + 10, chunk));
     }
-    let mut replica = Replica::<Sum>::new();
+    let mut replica = Replica::<ListHash>::new();
     replica.feed(10, &log).expect("no hole");
     assert!(!replica.is_ready());
-    assert_eq!(replica.stats().broken, 1);
+    assert_eq!(replica.stats().invalid, 1);
 }
 
 #[test]
-fn a_snapshot_older_than_the_buffer_is_passed_over_for_a_later_one() {
+fn a_snapshot_older_than_the_buffer_is_skipped_for_a_later_one() {
     let all = values(0..30);
     let mut log = all[..20].to_vec();
     for at in [8, 15] {
-        let state = fold(&all[..=at]).encode();
-        for chunk in Sum::split(at as u64, &state) {
+        let state = final_state(&all[..=at]).encode();
+        for chunk in ListHash::split(at as u64, &state) {
             log.push(chunk_record(log.len() as u64, chunk));
         }
     }
-    let mut replica = Replica::<Sum>::new();
+    let mut replica = Replica::<ListHash>::new();
     replica.feed(10, &log[10..]).expect("no hole");
     assert!(replica.is_ready());
-    assert_eq!(replica.state(), Some(&fold(&log)));
+    assert_eq!(replica.state(), Some(&final_state(&log)));
     assert_eq!(replica.newest_snapshot(), Some(15));
 }
 
 #[test]
-fn records_since_the_newest_snapshot_are_counted_without_chunks() {
+fn records_since_the_newest_snapshot_exclude_chunks() {
     let mut log = values(0..10);
-    let mut replica = Replica::<Sum>::new();
+    let mut replica = Replica::<ListHash>::new();
     replica.feed(0, &log).expect("no hole");
     assert_eq!(replica.since_snapshot(), 10);
 
     for at in [7, 10] {
-        let state = fold(&log[..=at]).encode();
-        for chunk in Sum::split(at as u64, &state) {
+        let state = final_state(&log[..=at]).encode();
+        for chunk in ListHash::split(at as u64, &state) {
             log.push(chunk_record(log.len() as u64, chunk));
         }
         log.push(value_record(log.len() as u64, 1));
     }
-    // After 10: the other chunks of the first snapshot and of the second, two values.
+    // After offset 10 there are chunks of both snapshots and two values.
     replica.feed(0, &log).expect("no hole");
     assert_eq!(replica.newest_snapshot(), Some(10));
     assert_eq!(replica.since_snapshot(), 2);
