--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps one connection to a server.
+//! A client that maintains one connection to a server.
 
 use std::fmt;
 use std::io;
@@ -16,18 +16,18 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use crate::connection::Connection;
-use crate::handshake::{self, HANDSHAKE_TIMEOUT, HandshakeError, Proved};
+use crate::handshake::{self, Authenticated, HANDSHAKE_TIMEOUT, HandshakeError};
 use crate::stream::ReplyStream;
 use crate::{LinkError, Secret};
 
 const BACKOFF_BASE: Duration = Duration::from_millis(20);
 const BACKOFF_CAP: Duration = Duration::from_secs(1);
 
-/// A client of one server. Connects, and connects again, in the background.
+/// A client of one server; connects and reconnects in a background task.
 pub struct Client {
     shared: Arc<Shared>,
     stop: CancellationToken,
-    /// Ends the task when the client is dropped without a stop.
+    /// Cancels the task when the client is dropped without [`Client::stop`].
     _guard: DropGuard,
     task: Mutex<Option<JoinHandle<()>>>,
 }
@@ -38,11 +38,12 @@
     secret: Secret,
     current: ArcSwapOption<Connection>,
     up: watch::Sender<bool>,
-    trouble: ArcSwapOption<String>,
+    last_error: ArcSwapOption<String>,
 }
 
 impl Client {
-    /// Starts a client that calls itself `name`. Must be called inside tokio.
+    /// Starts a client that identifies itself as `name`. Must be called within a tokio
+    /// runtime.
     #[must_use]
     pub fn spawn(address: SocketAddr, name: &str, secret: Secret) -> Arc<Self> {
         let shared = Arc::new(Shared {
@@ -51,7 +52,7 @@
             secret,
             current: ArcSwapOption::empty(),
             up: watch::Sender::new(false),
-            trouble: ArcSwapOption::empty(),
+            last_error: ArcSwapOption::empty(),
         });
         let stop = CancellationToken::new();
         let task = tokio::spawn(run(Arc::clone(&shared), stop.clone()));
@@ -65,11 +66,12 @@
 
     /// Sends a request and waits up to `timeout` for its first, or only, reply.
     ///
-    /// A connection on which no byte came in that time is closed, so `timeout`
-    /// should leave the peer more time than it is asked to take.
+    /// Closes the connection if no byte arrives within `timeout`, so `timeout` should
+    /// be longer than the time that the request lets the peer take.
     ///
     /// # Errors
-    /// [`LinkError::Down`] only if the request was certainly not sent.
+    /// [`LinkError::Down`] only if the request was certainly not sent; after any other
+    /// error it may have been.
     pub async fn call(
         &self,
         kind: request::Kind,
@@ -78,21 +80,23 @@
         self.current()?.call(kind, timeout).await
     }
 
-    /// Sends a request whose several replies the stream yields.
+    /// Sends a request and returns the stream of its replies.
     ///
     /// # Errors
-    /// [`LinkError::Down`] only if the request was certainly not sent.
+    /// [`LinkError::Down`] only if the request was certainly not sent; after any other
+    /// error it may have been.
     pub async fn stream(&self, kind: request::Kind) -> Result<ReplyStream, LinkError> {
         self.current()?.stream(kind).await
     }
 
-    /// Whether there is a proved connection.
+    /// Whether there is an authenticated connection.
     #[must_use]
     pub fn is_up(&self) -> bool {
         self.current().is_ok()
     }
 
-    /// Name that the server gave itself, while there is a connection.
+    /// Name that the server reported in the handshake; `None` while there is no
+    /// connection.
     #[must_use]
     pub fn peer(&self) -> Option<Arc<str>> {
         let connection = self.current().ok()?;
@@ -105,13 +109,13 @@
         self.shared.address
     }
 
-    /// Why the last try to connect failed; `None` after one that succeeded.
+    /// Why the last connection attempt failed; `None` after a successful one.
     #[must_use]
     pub fn last_error(&self) -> Option<Arc<String>> {
-        self.shared.trouble.load_full()
+        self.shared.last_error.load_full()
     }
 
-    /// Waits up to `timeout` for a connection; whether there is one.
+    /// Waits up to `timeout` for a connection; returns whether there is one.
     pub async fn wait_up(&self, timeout: Duration) -> bool {
         let mut up = self.shared.up.subscribe();
         let wait = up.wait_for(|up| *up);
@@ -123,7 +127,7 @@
         self.stop.cancel();
         let task = self.lock_task().take();
         if let Some(task) = task {
-            // A panic there has been reported by the runtime already.
+            // The runtime has already reported a panic of the task.
             let _ended = task.await;
         }
     }
@@ -153,7 +157,7 @@
 enum DialError {
     #[error("connect: {0}")]
     Connect(#[from] io::Error),
-    #[error("connect took too long")]
+    #[error("connect timed out")]
     Timeout,
     #[error("handshake: {0}")]
     Handshake(#[from] HandshakeError),
@@ -167,15 +171,15 @@
             () = stop.cancelled() => return,
         };
         match dialed {
-            Ok(proved) => {
+            Ok(authenticated) => {
                 let start = Instant::now();
-                shared.carry(proved, &stop).await;
-                // A server that drops each connection at once is not pressed.
+                shared.run_connection(authenticated, &stop).await;
+                // If the server closes each connection at once, the backoff keeps growing.
                 if start.elapsed() >= BACKOFF_CAP {
                     backoff.reset();
                 }
             }
-            Err(error) => shared.trouble.store(Some(Arc::new(error.to_string()))),
+            Err(error) => shared.last_error.store(Some(Arc::new(error.to_string()))),
         }
 
         let delay = backoff.next(rand::random());
@@ -187,16 +191,16 @@
 }
 
 impl Shared {
-    async fn dial(&self) -> Result<Proved, DialError> {
+    async fn dial(&self) -> Result<Authenticated, DialError> {
         let connect = timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(self.address));
         let socket = connect.await.map_err(|_elapsed| DialError::Timeout)??;
         socket.set_nodelay(true)?;
         Ok(handshake::connect(socket, &self.name, &self.secret).await?)
     }
 
-    async fn carry(&self, proved: Proved, stop: &CancellationToken) {
-        let (connection, io) = Connection::new(proved);
-        self.trouble.store(None);
+    async fn run_connection(&self, authenticated: Authenticated, stop: &CancellationToken) {
+        let (connection, io) = Connection::new(authenticated);
+        self.last_error.store(None);
         self.current.store(Some(Arc::clone(&connection)));
         self.up.send_replace(true);
 
--- a/crates/link/src/codec.rs
+++ b/crates/link/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on the wire: a 32-bit big-endian length, then a protobuf message.
+//! The frame codec: a 32-bit big-endian length, then a protobuf message.
 
 use std::io;
 
@@ -7,23 +7,23 @@
 use swiftlink_wire::link::Frame;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Most bytes of one encoded frame.
+/// Maximum size of an encoded frame without its length prefix, in bytes.
 pub const MAX_FRAME: usize = 8 * 1024 * 1024;
 
-/// Bytes of the length before each frame.
-const PREFIX: usize = 4;
+/// Size of the length prefix of each frame, in bytes.
+const PREFIX_LEN: usize = 4;
 
-/// Why a frame can't be read or written.
+/// Why a frame could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed, or a length is over the limit.
+    /// The connection failed, or a length prefix exceeds the limit.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes are no frame.
+    /// The bytes do not decode as a frame.
     #[error("malformed frame: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// The frame to be written is over the limit.
-    #[error("frame of {0} bytes is over the limit")]
+    /// The frame to be written exceeds the limit.
+    #[error("frame of {0} bytes exceeds the limit")]
     TooLarge(usize),
 }
 
@@ -34,17 +34,17 @@
 }
 
 impl FrameCodec {
-    /// A codec that refuses frames of more than `limit` bytes.
+    /// Creates a codec that rejects frames of more than `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         let inner = LengthDelimitedCodec::builder()
-            .length_field_length(PREFIX)
+            .length_field_length(PREFIX_LEN)
             .max_frame_length(limit)
             .new_codec();
         Self { inner }
     }
 
-    /// Changes the limit, which is lower until the peer is known.
+    /// Sets the size limit of frames, which is lower until the peer is authenticated.
     pub(crate) fn set_limit(&mut self, limit: usize) {
         self.inner.set_max_frame_length(limit);
     }
@@ -71,7 +71,7 @@
 impl Encoder<&Frame> for FrameCodec {
     type Error = FrameError;
 
-    // Writes the prefix itself: the inner codec would copy the encoded message.
+    // Writes the prefix here, because the inner codec would copy the encoded message.
     fn encode(&mut self, frame: &Frame, dst: &mut BytesMut) -> Result<(), FrameError> {
         let len = frame.encoded_len();
         if len > self.inner.max_frame_length() {
@@ -79,7 +79,7 @@
         }
         let prefix = u32::try_from(len).map_err(|_error| FrameError::TooLarge(len))?;
 
-        dst.reserve(PREFIX + len);
+        dst.reserve(PREFIX_LEN + len);
         dst.put_u32(prefix);
         frame
             .encode(dst)
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,4 +1,4 @@
-//! The client's side of one proved connection.
+//! The client's side of one authenticated connection.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,49 +10,53 @@
 
 use crate::LinkError;
 use crate::codec::MAX_FRAME;
-use crate::handshake::Proved;
+use crate::handshake::Authenticated;
 use crate::incoming::Reader;
-use crate::outgoing::{self, Backlog, Outbound, Outgoing, Ticket};
-use crate::pending::{Delivery, Pending, STREAM_QUEUE, Sink, ended};
+use crate::outgoing::{self, FrameSender, OutgoingFrame, SendState, WriteQueue};
+use crate::pending::{Delivery, Pending, STREAM_QUEUE, Sink, closed_error};
 use crate::stream::ReplyStream;
 
-/// Requests that wait to be written; callers wait beyond it.
-const QUEUE: usize = 1024;
+/// Capacity of the queue of requests to be written; callers wait while it is full.
+const SEND_QUEUE: usize = 1024;
 
-/// Time for which a full stream holds up its connection before it is ended: long
-/// enough for a hiccup of its owner, short for the other requests.
+/// Time for which a full stream may block its connection before the stream is ended: long
+/// enough for a short pause of its consumer, yet short for the other requests on the
+/// connection.
 const STALL_LIMIT: Duration = Duration::from_millis(50);
 
-/// Requests in flight on one connection.
+/// One connection and its requests in flight.
 pub(crate) struct Connection {
     peer: Arc<str>,
-    out: Outbound,
+    out: FrameSender,
     pending: Pending,
     next_id: AtomicU64,
-    heard: Arc<AtomicU64>,
-    dead: CancellationToken,
+    received: Arc<AtomicU64>,
+    closed: CancellationToken,
 }
 
 /// The halves of the socket, for [`Connection::run`].
 pub(crate) struct Io {
     reader: Reader,
-    backlog: Backlog,
+    write_queue: WriteQueue,
 }
 
 impl Connection {
-    pub(crate) fn new(proved: Proved) -> (Arc<Self>, Io) {
-        let (read, writer) = proved.socket.into_split();
-        let reader = Reader::new(read, proved.input);
-        let (out, backlog) = outgoing::channel(writer, QUEUE);
+    pub(crate) fn new(authenticated: Authenticated) -> (Arc<Self>, Io) {
+        let (read, writer) = authenticated.socket.into_split();
+        let reader = Reader::new(read, authenticated.input);
+        let (out, write_queue) = outgoing::channel(writer, SEND_QUEUE);
         let connection = Self {
-            peer: proved.peer,
+            peer: authenticated.peer,
             out,
             pending: Pending::new(),
             next_id: AtomicU64::new(1),
-            heard: reader.heard(),
-            dead: CancellationToken::new(),
+            received: reader.received(),
+            closed: CancellationToken::new(),
+        };
+        let io = Io {
+            reader,
+            write_queue,
         };
-        let io = Io { reader, backlog };
         (Arc::new(connection), io)
     }
 
@@ -60,22 +64,22 @@
         Arc::clone(&self.peer)
     }
 
-    /// Whether requests are still taken.
+    /// Whether requests are still accepted.
     pub(crate) fn is_up(&self) -> bool {
-        !self.dead.is_cancelled()
+        !self.closed.is_cancelled()
     }
 
-    /// Carries frames both ways until the connection is lost or `stop`.
+    /// Reads and writes frames until the connection is lost or `stop` is cancelled.
     pub(crate) async fn run(&self, io: Io, stop: &CancellationToken) {
         let finish = CancellationToken::new();
-        let write = outgoing::write_all(io.backlog, finish);
+        let write = outgoing::write_all(io.write_queue, finish);
         tokio::select! {
             () = write => {}
             () = self.read(io.reader) => {}
-            () = self.dead.cancelled() => {}
+            () = self.closed.cancelled() => {}
             () = stop.cancelled() => {}
         }
-        self.dead.cancel();
+        self.closed.cancel();
         self.out.close();
         self.pending.close_all();
     }
@@ -86,24 +90,24 @@
             let Some(frame::Body::Reply(reply)) = body else {
                 return;
             };
-            self.take(id, reply).await;
+            self.dispatch(id, reply).await;
         }
     }
 
-    async fn take(&self, id: u64, reply: Reply) {
+    async fn dispatch(&self, id: u64, reply: Reply) {
         let last = reply.last;
-        let wanted = match self.pending.deliver(id, reply) {
-            Delivery::Taken => true,
+        let is_wanted = match self.pending.deliver(id, reply) {
+            Delivery::Delivered => true,
             Delivery::Unwanted => false,
             Delivery::Full(sink, reply) => {
                 let sent = sink.send_timeout(reply, STALL_LIMIT).await;
                 if last || sent.is_err() {
-                    self.pending.close(id);
+                    self.pending.remove(id);
                 }
                 sent.is_ok()
             }
         };
-        if !wanted && !last {
+        if !is_wanted && !last {
             self.send_cancel(id);
         }
     }
@@ -113,21 +117,21 @@
         kind: request::Kind,
         timeout: Duration,
     ) -> Result<reply::Kind, LinkError> {
-        let (sink, answer) = oneshot::channel();
-        let (id, ticket) = self.open(Sink::Once(sink))?;
-        let guard = Guard::new(self, id, Arc::clone(&ticket));
-        let heard = self.heard();
+        let (sink, reply) = oneshot::channel();
+        let (id, send_state) = self.register(Sink::Once(sink))?;
+        let guard = CancelOnDrop::new(self, id, Arc::clone(&send_state));
+        let received = self.received();
 
         let exchange = async {
-            self.send(id, kind, &ticket).await?;
-            answer.await.map_err(|_closed| ended(&ticket))
+            self.send(id, kind, &send_state).await?;
+            reply.await.map_err(|_closed| closed_error(&send_state))
         };
         match tokio::time::timeout(timeout, exchange).await {
-            Ok(result) => value(result?),
+            Ok(result) => into_result(result?),
             Err(_elapsed) => {
-                self.check_silence(heard);
+                self.close_if_silent(received);
                 drop(guard);
-                if ticket.withdraw() {
+                if send_state.try_withdraw() {
                     Err(LinkError::Down)
                 } else {
                     Err(LinkError::Timeout)
@@ -141,35 +145,36 @@
         kind: request::Kind,
     ) -> Result<ReplyStream, LinkError> {
         let (sink, replies) = mpsc::channel(STREAM_QUEUE);
-        let (id, ticket) = self.open(Sink::Many(sink))?;
-        // Made before the send, so that giving up the send removes the request.
-        let stream = ReplyStream::new(Arc::clone(self), id, Arc::clone(&ticket), replies);
-        self.send(id, kind, &ticket).await?;
+        let (id, send_state) = self.register(Sink::Many(sink))?;
+        // Created before the send, so that dropping this future removes the request.
+        let stream = ReplyStream::new(Arc::clone(self), id, Arc::clone(&send_state), replies);
+        self.send(id, kind, &send_state).await?;
         Ok(stream)
     }
 
-    /// Count of the bytes read so far.
-    pub(crate) fn heard(&self) -> u64 {
-        self.heard.load(Ordering::Acquire)
+    /// Number of bytes received so far.
+    pub(crate) fn received(&self) -> u64 {
+        self.received.load(Ordering::Acquire)
     }
 
-    /// Closes the connection if no byte came since `heard`.
-    pub(crate) fn check_silence(&self, heard: u64) {
-        if self.heard() == heard {
-            self.dead.cancel();
+    /// Closes the connection if no byte arrived since [`Self::received`] returned
+    /// `received`.
+    pub(crate) fn close_if_silent(&self, received: u64) {
+        if self.received() == received {
+            self.closed.cancel();
         }
     }
 
-    /// Ends a request that may still get replies.
-    pub(crate) fn give_up(&self, id: u64, ticket: &Ticket) {
-        if self.pending.close(id) && !ticket.withdraw() {
+    /// Ends a request that may still get replies, and tells the peer if it was sent.
+    pub(crate) fn cancel(&self, id: u64, send_state: &SendState) {
+        if self.pending.remove(id) && !send_state.try_withdraw() {
             self.send_cancel(id);
         }
     }
 
-    fn open(&self, sink: Sink) -> Result<(u64, Arc<Ticket>), LinkError> {
+    fn register(&self, sink: Sink) -> Result<(u64, Arc<SendState>), LinkError> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        self.pending.open(id, sink)?;
+        self.pending.insert(id, sink)?;
         Ok((id, Arc::default()))
     }
 
@@ -177,33 +182,36 @@
         &self,
         id: u64,
         kind: request::Kind,
-        ticket: &Arc<Ticket>,
+        send_state: &Arc<SendState>,
     ) -> Result<(), LinkError> {
-        let outgoing = Outgoing::request(id, kind, Arc::clone(ticket));
-        if outgoing.size() > MAX_FRAME {
-            ticket.withdraw();
+        let frame = OutgoingFrame::request(id, kind, Arc::clone(send_state));
+        if frame.size() > MAX_FRAME {
+            send_state.try_withdraw();
             return Err(LinkError::Failed(Failure {
                 kind: FailureKind::BadRequest.into(),
                 detail: "request is too large".to_owned(),
             }));
         }
-        let place = self.out.reserve().await;
-        place.map_err(|_closed| LinkError::Down)?.send(outgoing);
+        let permit = self.out.reserve().await;
+        permit.map_err(|_closed| LinkError::Down)?.send(frame);
         Ok(())
     }
 
-    /// If the queue is full the next unwanted reply tries again.
+    /// Tells the peer that no more replies are wanted.
+    ///
+    /// Does nothing while the queue is full; the next unwanted reply tries again.
     fn send_cancel(&self, id: u64) {
-        if let Some(place) = self.out.try_reserve() {
-            place.send(Outgoing::cancel(id));
+        if let Some(permit) = self.out.try_reserve() {
+            permit.send(OutgoingFrame::cancel(id));
         }
     }
 }
 
-/// The kind of a reply, a failure as an error.
+/// Returns the kind of a reply, or an error for a failure.
 ///
-/// A failure of no known meaning says nothing of what became of the request.
-pub(crate) fn value(reply: Reply) -> Result<reply::Kind, LinkError> {
+/// A failure of an unspecified kind leaves open whether the request took effect, so it
+/// is reported as [`LinkError::Lost`].
+pub(crate) fn into_result(reply: Reply) -> Result<reply::Kind, LinkError> {
     match reply.kind {
         Some(reply::Kind::Failure(failure)) if failure.kind() == FailureKind::Unspecified => {
             Err(LinkError::Lost)
@@ -214,25 +222,25 @@
     }
 }
 
-/// Gives up a call's request when the call ends early or is dropped.
-struct Guard<'a> {
+/// Cancels a call's request when the call ends early or is dropped.
+struct CancelOnDrop<'a> {
     connection: &'a Connection,
     id: u64,
-    ticket: Arc<Ticket>,
+    send_state: Arc<SendState>,
 }
 
-impl<'a> Guard<'a> {
-    fn new(connection: &'a Connection, id: u64, ticket: Arc<Ticket>) -> Self {
+impl<'a> CancelOnDrop<'a> {
+    fn new(connection: &'a Connection, id: u64, send_state: Arc<SendState>) -> Self {
         Self {
             connection,
             id,
-            ticket,
+            send_state,
         }
     }
 }
 
-impl Drop for Guard<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        self.connection.give_up(self.id, &self.ticket);
+        self.connection.cancel(self.id, &self.send_state);
     }
 }
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -8,11 +8,11 @@
     /// There is no connection; the request was certainly not sent.
     #[error("no connection to the peer")]
     Down,
-    /// The request was sent, but no reply tells what became of it: the connection
-    /// or the handler ended, or more replies came than were taken.
+    /// The request was sent, but its outcome is unknown: the connection or the handler
+    /// ended before the last reply, or replies arrived faster than they were consumed.
     #[error("the request was sent, its reply is lost")]
     Lost,
-    /// No reply came in time; the request was sent.
+    /// The request was sent, but no reply arrived in time.
     #[error("no reply in time")]
     Timeout,
     /// The peer answered with a failure.
@@ -20,7 +20,7 @@
     Failed(Failure),
 }
 
-/// The caller no longer takes replies, or its connection is gone.
+/// The caller cancelled the request, got its last reply, or its connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the caller takes no more replies")]
+#[error("the caller accepts no more replies")]
 pub struct Closed;
--- a/crates/link/src/handshake.rs
+++ b/crates/link/src/handshake.rs
@@ -1,8 +1,8 @@
-//! Mutual proof of the shared secret at the start of a connection.
+//! Mutual authentication by the shared secret at the start of a connection.
 //!
-//! The accepting side sends a fresh nonce, the connecting side answers with its
-//! own nonce and a proof over both, and the accepting side proves itself in turn.
-//! The labels differ, so neither proof serves as the other.
+//! The accepting side sends a fresh nonce, the connecting side responds with its own
+//! nonce and a proof over both, and the accepting side sends its proof in turn. The two
+//! proofs have different labels, so that neither can be reflected as the other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,20 @@
 use crate::Secret;
 use crate::codec::{FrameCodec, FrameError, MAX_FRAME};
 
-/// A connection that is not made and proved in this time is dropped.
+/// Time limit for connecting, and for the handshake after that.
 pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Most bytes of a frame from a peer that has proved nothing yet.
-const MAX_STRANGER_FRAME: usize = 1024;
+/// Maximum size of a frame from a peer that is not authenticated yet, in bytes.
+const MAX_HANDSHAKE_FRAME: usize = 1024;
 
+/// Maximum length of a peer's name, in bytes.
 const MAX_NAME: usize = 256;
 const NONCE_LEN: usize = 32;
 const HELLO_LABEL: &[u8] = b"swiftlink link hello 1";
 const WELCOME_LABEL: &[u8] = b"swiftlink link welcome 1";
 
-/// A proved connection and the bytes read beyond the handshake.
-pub(crate) struct Proved {
+/// An authenticated connection and the bytes read beyond the handshake.
+pub(crate) struct Authenticated {
     pub(crate) socket: TcpStream,
     pub(crate) peer: Arc<str>,
     pub(crate) input: Input,
@@ -44,41 +45,41 @@
 pub(crate) enum HandshakeError {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("connection closed in the handshake")]
+    #[error("connection closed during the handshake")]
     Eof,
-    #[error("unexpected frame in the handshake")]
+    #[error("unexpected frame during the handshake")]
     Unexpected,
-    #[error("peer does not know the secret")]
+    #[error("peer failed to authenticate with the shared secret")]
     Refused,
-    #[error("handshake took too long")]
+    #[error("handshake timed out")]
     Timeout,
 }
 
-/// Proves this side, which accepted the connection, and checks the other.
+/// Performs the handshake on the side that accepted the connection.
 pub(crate) async fn accept(
     socket: TcpStream,
     name: &str,
     secret: &Secret,
-) -> Result<Proved, HandshakeError> {
-    let done = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept_inner(socket, name, secret));
-    done.await.unwrap_or(Err(HandshakeError::Timeout))
+) -> Result<Authenticated, HandshakeError> {
+    let result = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept_inner(socket, name, secret));
+    result.await.unwrap_or(Err(HandshakeError::Timeout))
 }
 
-/// Proves this side, which made the connection, and checks the other.
+/// Performs the handshake on the side that opened the connection.
 pub(crate) async fn connect(
     socket: TcpStream,
     name: &str,
     secret: &Secret,
-) -> Result<Proved, HandshakeError> {
-    let done = tokio::time::timeout(HANDSHAKE_TIMEOUT, connect_inner(socket, name, secret));
-    done.await.unwrap_or(Err(HandshakeError::Timeout))
+) -> Result<Authenticated, HandshakeError> {
+    let result = tokio::time::timeout(HANDSHAKE_TIMEOUT, connect_inner(socket, name, secret));
+    result.await.unwrap_or(Err(HandshakeError::Timeout))
 }
 
 async fn accept_inner(
     socket: TcpStream,
     name: &str,
     secret: &Secret,
-) -> Result<Proved, HandshakeError> {
+) -> Result<Authenticated, HandshakeError> {
     let mut channel = Channel::new(socket);
     let nonce = nonce();
     let challenge = Challenge {
@@ -90,11 +91,11 @@
         return Err(HandshakeError::Unexpected);
     };
     check_sizes(&hello.name, &hello.nonce)?;
-    let proved = secret.verify(
+    let is_valid = secret.verify(
         &[HELLO_LABEL, &nonce, &hello.nonce, hello.name.as_bytes()],
         &hello.proof,
     );
-    if !proved {
+    if !is_valid {
         return Err(HandshakeError::Refused);
     }
 
@@ -104,25 +105,25 @@
         proof,
     };
     channel.send(frame::Body::Welcome(welcome)).await?;
-    Ok(channel.proved(&hello.name))
+    Ok(channel.into_authenticated(&hello.name))
 }
 
 async fn connect_inner(
     socket: TcpStream,
     name: &str,
     secret: &Secret,
-) -> Result<Proved, HandshakeError> {
+) -> Result<Authenticated, HandshakeError> {
     let mut channel = Channel::new(socket);
     let frame::Body::Challenge(challenge) = channel.receive().await? else {
         return Err(HandshakeError::Unexpected);
     };
-    let theirs = challenge.nonce;
-    if theirs.len() != NONCE_LEN {
+    let peer_nonce = challenge.nonce;
+    if peer_nonce.len() != NONCE_LEN {
         return Err(HandshakeError::Unexpected);
     }
 
     let nonce = nonce();
-    let proof = secret.sign(&[HELLO_LABEL, &theirs, &nonce, name.as_bytes()]);
+    let proof = secret.sign(&[HELLO_LABEL, &peer_nonce, &nonce, name.as_bytes()]);
     let hello = Hello {
         name: name.to_owned(),
         nonce: nonce.to_vec(),
@@ -133,15 +134,15 @@
     let frame::Body::Welcome(welcome) = channel.receive().await? else {
         return Err(HandshakeError::Unexpected);
     };
-    check_sizes(&welcome.name, &theirs)?;
-    let proved = secret.verify(
-        &[WELCOME_LABEL, &theirs, &nonce, welcome.name.as_bytes()],
+    check_sizes(&welcome.name, &peer_nonce)?;
+    let is_valid = secret.verify(
+        &[WELCOME_LABEL, &peer_nonce, &nonce, welcome.name.as_bytes()],
         &welcome.proof,
     );
-    if !proved {
+    if !is_valid {
         return Err(HandshakeError::Refused);
     }
-    Ok(channel.proved(&welcome.name))
+    Ok(channel.into_authenticated(&welcome.name))
 }
 
 fn check_sizes(name: &str, nonce: &[u8]) -> Result<(), HandshakeError> {
@@ -155,7 +156,7 @@
     rand::random()
 }
 
-/// A connection that carries one frame at a time.
+/// A connection during the handshake; reads and writes one frame at a time.
 struct Channel {
     socket: TcpStream,
     input: Input,
@@ -164,7 +165,7 @@
 impl Channel {
     fn new(socket: TcpStream) -> Self {
         let input = Input {
-            codec: FrameCodec::new(MAX_STRANGER_FRAME),
+            codec: FrameCodec::new(MAX_HANDSHAKE_FRAME),
             bytes: BytesMut::new(),
         };
         Self { socket, input }
@@ -196,9 +197,9 @@
         }
     }
 
-    fn proved(mut self, peer: &str) -> Proved {
+    fn into_authenticated(mut self, peer: &str) -> Authenticated {
         self.input.codec.set_limit(MAX_FRAME);
-        Proved {
+        Authenticated {
             socket: self.socket,
             peer: Arc::from(peer),
             input: self.input,
--- a/crates/link/src/incoming.rs
+++ b/crates/link/src/incoming.rs
@@ -11,14 +11,14 @@
 use crate::codec::FrameError;
 use crate::handshake::Input;
 
-/// Least room in the buffer for each read from the socket.
-const READ_BYTES: usize = 64 * 1024;
+/// Minimum free space in the buffer for each read from the socket, in bytes.
+const MIN_READ_BYTES: usize = 64 * 1024;
 
-/// Reads frames and counts the bytes, so that silence can be told.
+/// Reads frames and counts the bytes, so that a silent connection can be detected.
 pub(crate) struct Reader {
     socket: OwnedReadHalf,
     input: Input,
-    heard: Arc<AtomicU64>,
+    received: Arc<AtomicU64>,
 }
 
 impl Reader {
@@ -26,28 +26,28 @@
         Self {
             socket,
             input,
-            heard: Arc::default(),
+            received: Arc::default(),
         }
     }
 
-    /// Count of the bytes read.
-    pub(crate) fn heard(&self) -> Arc<AtomicU64> {
-        Arc::clone(&self.heard)
+    /// Counter of the bytes read.
+    pub(crate) fn received(&self) -> Arc<AtomicU64> {
+        Arc::clone(&self.received)
     }
 
-    /// The next frame, or `None` at the end. May be dropped and called again.
+    /// Reads the next frame; `None` at the end of the connection. Cancel safe.
     pub(crate) async fn next(&mut self) -> Result<Option<Frame>, FrameError> {
         loop {
             if let Some(frame) = self.input.codec.decode(&mut self.input.bytes)? {
                 return Ok(Some(frame));
             }
 
-            self.input.bytes.reserve(READ_BYTES);
+            self.input.bytes.reserve(MIN_READ_BYTES);
             let read = self.socket.read_buf(&mut self.input.bytes).await?;
             if read == 0 {
                 return Ok(None);
             }
-            self.heard.fetch_add(read as u64, Ordering::AcqRel);
+            self.received.fetch_add(read as u64, Ordering::AcqRel);
         }
     }
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,17 +1,17 @@
 //! Authenticated request/reply connections between swiftlink processes.
 //!
-//! A [`Client`] keeps one TCP connection to a [`Server`] and connects again with
-//! back-off when it is lost. Frames are length-delimited protobuf messages. Each
-//! side proves in a challenge handshake that it knows the shared [`Secret`];
-//! traffic is neither encrypted nor signed after that, so the network between the
-//! processes must be the operators' own. Requests are multiplexed: each has a
-//! number, and one or more replies carry the same number.
+//! A [`Client`] maintains one TCP connection to a [`Server`] and reconnects with backoff
+//! when it is lost. Frames are length-delimited protobuf messages. Each side proves in a
+//! challenge-response handshake that it knows the shared [`Secret`]; the traffic after
+//! that is neither encrypted nor signed, so the operators must control the network
+//! between the processes. Requests are multiplexed: each has a number, and one or more
+//! replies carry the same number.
 //!
-//! The way of a call: `client` connects and `server` accepts, both prove themselves in
-//! `handshake`. Then `connection` on the client's side numbers the request, notes in
-//! `pending` who waits for it and queues it in `outgoing`; `session` on the server's
-//! side calls the [`Handler`], whose [`Replies`] go back through its own `outgoing`.
-//! Both sides read with `incoming`. Read the modules in this order.
+//! A call passes through the modules in this order: `client` connects and `server`
+//! accepts, and both authenticate each other in `handshake`. On the client's side,
+//! `connection` numbers the request, registers its caller in `pending` and queues the
+//! request in `outgoing`. On the server's side, `session` calls the [`Handler`], whose
+//! [`Replies`] go back through another `outgoing`. Both sides read with `incoming`.
 
 mod client;
 mod codec;
--- a/crates/link/src/outgoing.rs
+++ b/crates/link/src/outgoing.rs
@@ -18,54 +18,56 @@
 use crate::Closed;
 use crate::codec::{FrameCodec, FrameError};
 
-/// A peer that takes no byte for this long is given up.
+/// A connection whose peer accepts no byte for this long is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Most frames taken from the queue at once.
-const BATCH: usize = 256;
+/// Maximum number of frames taken from the queue at once.
+const MAX_BATCH: usize = 256;
 
-/// Encoded bytes after which a batch is written although more is queued.
+/// Number of encoded bytes at which they are written although more frames are queued.
 const FLUSH_BYTES: usize = 256 * 1024;
 
 const QUEUED: u8 = 0;
 const SENT: u8 = 1;
 const WITHDRAWN: u8 = 2;
 
-/// Settles whether a queued request goes out or is withdrawn; never both.
+/// Whether a request is queued, was sent or was withdrawn.
+///
+/// A request leaves the queue in one way only: it is either sent or withdrawn.
 #[derive(Debug, Default)]
-pub(crate) struct Ticket(AtomicU8);
+pub(crate) struct SendState(AtomicU8);
 
-impl Ticket {
-    /// Withdraws the request. False if it was, or may have been, sent.
-    pub(crate) fn withdraw(&self) -> bool {
-        self.settle(WITHDRAWN)
+impl SendState {
+    /// Withdraws the request; false if it was, or may have been, sent.
+    pub(crate) fn try_withdraw(&self) -> bool {
+        self.transition(WITHDRAWN)
     }
 
-    /// Claims the request for sending. False if it was withdrawn.
-    fn begin(&self) -> bool {
-        self.settle(SENT)
+    /// Marks the request as sent; false if it was withdrawn.
+    fn try_send(&self) -> bool {
+        self.transition(SENT)
     }
 
-    fn settle(&self, to: u8) -> bool {
+    fn transition(&self, to: u8) -> bool {
         let (success, failure) = (Ordering::AcqRel, Ordering::Acquire);
         match self.0.compare_exchange(QUEUED, to, success, failure) {
             Ok(_queued) => true,
-            Err(now) => now == to,
+            Err(current) => current == to,
         }
     }
 }
 
 /// A frame in the queue of a connection.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
-    frame: Frame,
-    ticket: Option<Arc<Ticket>>,
+pub(crate) struct OutgoingFrame {
+    message: Frame,
+    send_state: Option<Arc<SendState>>,
 }
 
-impl Outgoing {
-    pub(crate) fn request(id: u64, kind: request::Kind, ticket: Arc<Ticket>) -> Self {
+impl OutgoingFrame {
+    pub(crate) fn request(id: u64, kind: request::Kind, send_state: Arc<SendState>) -> Self {
         let request = Request { kind: Some(kind) };
-        Self::new(id, frame::Body::Request(request), Some(ticket))
+        Self::new(id, frame::Body::Request(request), Some(send_state))
     }
 
     pub(crate) fn reply(id: u64, kind: reply::Kind, last: bool) -> Self {
@@ -77,63 +79,70 @@
         Self::new(id, frame::Body::Cancel(Cancel {}), None)
     }
 
-    /// Bytes of the encoded frame.
+    /// Size of the encoded frame in bytes.
     pub(crate) fn size(&self) -> usize {
-        prost::Message::encoded_len(&self.frame)
+        prost::Message::encoded_len(&self.message)
     }
 
-    fn new(id: u64, body: frame::Body, ticket: Option<Arc<Ticket>>) -> Self {
-        let frame = Frame {
+    fn new(id: u64, body: frame::Body, send_state: Option<Arc<SendState>>) -> Self {
+        let message = Frame {
             id,
             body: Some(body),
         };
-        Self { frame, ticket }
+        Self {
+            message,
+            send_state,
+        }
     }
 
-    fn begin(&self) -> bool {
-        self.ticket.as_ref().is_none_or(|ticket| ticket.begin())
+    /// Marks the frame as sent; false if its request was withdrawn.
+    fn try_send(&self) -> bool {
+        self.send_state
+            .as_ref()
+            .is_none_or(|send_state| send_state.try_send())
     }
 }
 
-/// Where frames go: straight to the socket while nothing else waits for it, else
-/// into the queue of the task that writes.
+/// Sends frames: directly to the socket while no other frame waits for it, otherwise
+/// through the queue of the writing task.
 ///
-/// The straight way saves a change of thread to those who wait for the answer.
+/// Writing directly saves the callers that wait for the reply a thread switch.
 #[derive(Debug, Clone)]
-pub(crate) struct Outbound {
-    queue: mpsc::Sender<Outgoing>,
+pub(crate) struct FrameSender {
+    queue: mpsc::Sender<OutgoingFrame>,
     shared: Arc<Shared>,
 }
 
-/// What is queued for one connection, and the socket that it goes to.
+/// The frames queued for one connection, and the socket to write them to.
 #[derive(Debug)]
-pub(crate) struct Backlog {
-    queue: mpsc::Receiver<Outgoing>,
+pub(crate) struct WriteQueue {
+    queue: mpsc::Receiver<OutgoingFrame>,
     shared: Arc<Shared>,
 }
 
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    /// Frames in the queue or taken from it, but not in `State::bytes` yet. While
-    /// there are any, frames of the same caller must not go straight past them.
+    /// Number of frames in the queue, or taken from it and not encoded into
+    /// `State::bytes` yet. While there are any, a direct write could overtake an
+    /// earlier frame of the same caller.
     queued: AtomicUsize,
-    /// The socket did not take all bytes of a straight write.
-    left: Notify,
+    /// Notified when a direct write could not write all bytes to the socket.
+    unflushed: Notify,
 }
 
 #[derive(Debug)]
 struct State {
-    /// Nothing once the connection has ended.
+    /// `None` once the connection is closed.
     socket: Option<Arc<OwnedWriteHalf>>,
     codec: FrameCodec,
-    /// Encoded, and not taken by the socket.
+    /// Encoded frames that are not written to the socket yet.
     bytes: BytesMut,
 }
 
-/// The two ends of the writing half of a connection, with room for `room` frames.
-pub(crate) fn channel(socket: OwnedWriteHalf, room: usize) -> (Outbound, Backlog) {
-    let (sender, queue) = mpsc::channel(room);
+/// Creates the two ends of a connection's write queue, which holds `capacity` frames.
+pub(crate) fn channel(socket: OwnedWriteHalf, capacity: usize) -> (FrameSender, WriteQueue) {
+    let (sender, queue) = mpsc::channel(capacity);
     let state = State {
         socket: Some(Arc::new(socket)),
         codec: FrameCodec::default(),
@@ -142,95 +151,97 @@
     let shared = Arc::new(Shared {
         state: Mutex::new(state),
         queued: AtomicUsize::new(0),
-        left: Notify::new(),
+        unflushed: Notify::new(),
     });
-    let outbound = Outbound {
+    let sender = FrameSender {
         queue: sender,
         shared: Arc::clone(&shared),
     };
-    (outbound, Backlog { queue, shared })
+    (sender, WriteQueue { queue, shared })
 }
 
-impl Outbound {
-    /// Room for one frame; waits for it.
-    pub(crate) async fn reserve(&self) -> Result<Place<'_>, Closed> {
+impl FrameSender {
+    /// Reserves a place in the queue for one frame; waits while the queue is full.
+    pub(crate) async fn reserve(&self) -> Result<SendPermit<'_>, Closed> {
         let permit = self.queue.reserve().await.map_err(|_closed| Closed)?;
-        Ok(Place {
+        Ok(SendPermit {
             permit,
             shared: &self.shared,
         })
     }
 
-    /// Room for one frame, if there is some now.
-    pub(crate) fn try_reserve(&self) -> Option<Place<'_>> {
+    /// Reserves a place in the queue for one frame; `None` if the queue is full or
+    /// closed.
+    pub(crate) fn try_reserve(&self) -> Option<SendPermit<'_>> {
         let permit = self.queue.try_reserve().ok()?;
-        Some(Place {
+        Some(SendPermit {
             permit,
             shared: &self.shared,
         })
     }
 
-    /// Resolves once no more frames are taken.
+    /// Waits until the queue accepts no more frames.
     pub(crate) async fn closed(&self) {
         self.queue.closed().await;
     }
 
-    /// Closes the socket at once.
+    /// Gives up the socket at once, without writing what is queued.
     pub(crate) fn close(&self) {
         self.shared.lock().socket = None;
     }
 }
 
-/// Room for one frame on a connection.
-pub(crate) struct Place<'a> {
-    permit: Permit<'a, Outgoing>,
+/// A reserved place for one frame on a connection.
+pub(crate) struct SendPermit<'a> {
+    permit: Permit<'a, OutgoingFrame>,
     shared: &'a Shared,
 }
 
-impl Place<'_> {
-    /// Puts a frame on its way.
-    pub(crate) fn send(self, outgoing: Outgoing) {
-        if let Some(outgoing) = self.shared.write_straight(outgoing) {
+impl SendPermit<'_> {
+    /// Writes the frame directly if possible, otherwise queues it.
+    pub(crate) fn send(self, frame: OutgoingFrame) {
+        if let Some(frame) = self.shared.write_directly(frame) {
             self.shared.queued.fetch_add(1, Ordering::AcqRel);
-            self.permit.send(outgoing);
+            self.permit.send(frame);
         }
     }
 }
 
 impl Shared {
-    /// Writes the frame if nothing waits before it; else gives it back.
-    fn write_straight(&self, outgoing: Outgoing) -> Option<Outgoing> {
+    /// Writes the frame if no other is queued before it; otherwise returns it.
+    fn write_directly(&self, frame: OutgoingFrame) -> Option<OutgoingFrame> {
         let Ok(mut state) = self.state.try_lock() else {
-            return Some(outgoing);
+            return Some(frame);
         };
         if self.queued.load(Ordering::Acquire) > 0 || !state.bytes.is_empty() {
-            return Some(outgoing);
+            return Some(frame);
         }
         let Some(socket) = state.socket.clone() else {
-            return Some(outgoing);
+            return Some(frame);
         };
-        if !outgoing.begin() {
+        if !frame.try_send() {
             return None;
         }
-        // Sizes were checked before; on an error the writing task ends the connection.
-        if state.encode(&outgoing).is_err() || !matches!(state.write(&socket), Ok(true)) {
-            self.left.notify_one();
+        // The size was checked before, so encoding doesn't fail; on an error of the
+        // socket the writing task ends the connection.
+        if state.encode(&frame).is_err() || !matches!(state.write(&socket), Ok(true)) {
+            self.unflushed.notify_one();
         }
         None
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Every change is whole before the guard is dropped.
+        // A poisoned lock is usable: no change is left half done when a guard is dropped.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
-    fn encode(&mut self, outgoing: &Outgoing) -> Result<(), FrameError> {
-        self.codec.encode(&outgoing.frame, &mut self.bytes)
+    fn encode(&mut self, frame: &OutgoingFrame) -> Result<(), FrameError> {
+        self.codec.encode(&frame.message, &mut self.bytes)
     }
 
-    /// Writes until all is written, which it tells, or the socket takes no more.
+    /// Writes until all bytes are written (true) or the socket would block (false).
     fn write(&mut self, socket: &OwnedWriteHalf) -> io::Result<bool> {
         while self.bytes.has_remaining() {
             match socket.try_write(&self.bytes) {
@@ -244,33 +255,33 @@
     }
 }
 
-/// Writes what is queued until the queue or the connection ends.
+/// Writes the queued frames until the queue is closed or the connection is lost.
 ///
-/// Frames that wait together go out in one write. After `finish` only what is
-/// queued already is still written.
-pub(crate) async fn write_all(mut backlog: Backlog, finish: CancellationToken) {
-    let shared = Arc::clone(&backlog.shared);
+/// Frames that are queued together go out in one write. After `finish` is cancelled, the
+/// frames that are already queued are still written.
+pub(crate) async fn write_all(mut write_queue: WriteQueue, finish: CancellationToken) {
+    let shared = Arc::clone(&write_queue.shared);
     let Some(socket) = shared.lock().socket.clone() else {
         return;
     };
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
 
     loop {
         tokio::select! {
             biased;
-            count = backlog.queue.recv_many(&mut batch, BATCH) => if count == 0 { break },
-            () = shared.left.notified() => {}
-            () = finish.cancelled(), if !backlog.queue.is_closed() => {
-                backlog.queue.close();
+            count = write_queue.queue.recv_many(&mut batch, MAX_BATCH) => if count == 0 { break },
+            () = shared.unflushed.notified() => {}
+            () = finish.cancelled(), if !write_queue.queue.is_closed() => {
+                write_queue.queue.close();
                 continue;
             }
         }
 
-        for outgoing in batch.drain(..) {
+        for frame in batch.drain(..) {
             let is_full = {
                 let mut state = shared.lock();
-                // Sizes were checked before the frame was queued.
-                if outgoing.begin() && state.encode(&outgoing).is_err() {
+                // The size was checked before the frame was queued.
+                if frame.try_send() && state.encode(&frame).is_err() {
                     return;
                 }
                 shared.queued.fetch_sub(1, Ordering::AcqRel);
@@ -292,18 +303,19 @@
     let last = shared.lock().socket.take();
     drop(last);
     if let Some(mut socket) = Arc::into_inner(socket) {
-        // The peer may be gone already, which is no news.
+        // An error only means that the peer has closed the connection already.
         let _closed = tokio::time::timeout(WRITE_TIMEOUT, socket.shutdown()).await;
     }
 }
 
-/// Writes all bytes; `None` when the connection is lost.
+/// Writes all encoded bytes; `None` when the connection is lost or the peer accepts no
+/// byte for [`WRITE_TIMEOUT`].
 async fn flush(shared: &Shared, socket: &OwnedWriteHalf) -> Option<()> {
     loop {
         if shared.lock().write(socket).ok()? {
             return Some(());
         }
-        let room = tokio::time::timeout(WRITE_TIMEOUT, socket.writable());
-        room.await.ok()?.ok()?;
+        let writable = tokio::time::timeout(WRITE_TIMEOUT, socket.writable());
+        writable.await.ok()?.ok()?;
     }
 }
--- a/crates/link/src/pending.rs
+++ b/crates/link/src/pending.rs
@@ -8,9 +8,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::LinkError;
-use crate::outgoing::Ticket;
+use crate::outgoing::SendState;
 
-/// Replies kept for one stream whose owner does not take them.
+/// Maximum number of replies queued for one stream.
 pub(crate) const STREAM_QUEUE: usize = 1024;
 
 /// Where the replies to one request go.
@@ -19,12 +19,12 @@
     Many(mpsc::Sender<Reply>),
 }
 
-/// What became of a reply.
+/// Result of delivering a reply.
 pub(crate) enum Delivery {
-    Taken,
+    Delivered,
     /// The stream's queue is full.
     Full(mpsc::Sender<Reply>, Reply),
-    /// Nobody wants replies to the request (any more).
+    /// No caller waits for further replies to the request.
     Unwanted,
 }
 
@@ -41,8 +41,11 @@
         }
     }
 
-    /// Enters a request.
-    pub(crate) fn open(&self, id: u64, sink: Sink) -> Result<(), LinkError> {
+    /// Registers a request.
+    ///
+    /// # Errors
+    /// [`LinkError::Down`] when the connection is lost.
+    pub(crate) fn insert(&self, id: u64, sink: Sink) -> Result<(), LinkError> {
         let mut sinks = self.lock();
         let Some(sinks) = sinks.as_mut() else {
             return Err(LinkError::Down);
@@ -51,19 +54,20 @@
         Ok(())
     }
 
-    /// Removes a request; true if it still waited.
-    pub(crate) fn close(&self, id: u64) -> bool {
+    /// Removes a request; true if it was still waiting for replies.
+    pub(crate) fn remove(&self, id: u64) -> bool {
         let mut sinks = self.lock();
         sinks.as_mut().is_some_and(|all| all.remove(&id).is_some())
     }
 
-    /// Removes all requests and takes no more: their owners see the end.
+    /// Removes all requests, whose callers then see the connection end, and accepts no
+    /// more.
     pub(crate) fn close_all(&self) {
         let sinks = self.lock().take();
         drop(sinks);
     }
 
-    /// Hands a reply to its request, without waiting.
+    /// Delivers a reply to its request without waiting.
     pub(crate) fn deliver(&self, id: u64, reply: Reply) -> Delivery {
         let mut guard = self.lock();
         let Some(sinks) = guard.as_mut() else {
@@ -75,7 +79,7 @@
             Some(Sink::Many(sink)) => {
                 let last = reply.last;
                 let delivery = match sink.try_send(reply) {
-                    Ok(()) => Delivery::Taken,
+                    Ok(()) => Delivery::Delivered,
                     Err(TrySendError::Full(reply)) => return Delivery::Full(sink.clone(), reply),
                     Err(TrySendError::Closed(_)) => Delivery::Unwanted,
                 };
@@ -89,10 +93,10 @@
                     return Delivery::Unwanted;
                 };
                 // Only the first reply is wanted.
-                let whole = reply.last;
-                let taken = sink.send(reply).is_ok();
-                if taken && whole {
-                    Delivery::Taken
+                let is_only = reply.last;
+                let is_delivered = sink.send(reply).is_ok();
+                if is_delivered && is_only {
+                    Delivery::Delivered
                 } else {
                     Delivery::Unwanted
                 }
@@ -101,14 +105,14 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<HashMap<u64, Sink>>> {
-        // Every change is whole before the guard is dropped.
+        // A poisoned lock is usable: no change is left half done when a guard is dropped.
         self.sinks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The error of a request whose connection ended before its reply.
-pub(crate) fn ended(ticket: &Arc<Ticket>) -> LinkError {
-    if ticket.withdraw() {
+/// Returns the error of a request whose connection was lost before its reply.
+pub(crate) fn closed_error(send_state: &Arc<SendState>) -> LinkError {
+    if send_state.try_withdraw() {
         LinkError::Down
     } else {
         LinkError::Lost
--- a/crates/link/src/replies.rs
+++ b/crates/link/src/replies.rs
@@ -1,4 +1,4 @@
-//! What a server calls for each request, and how it is answered.
+//! The request handler of a server, and the replies that it sends.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,106 +11,108 @@
 
 use crate::Closed;
 use crate::codec::MAX_FRAME;
-use crate::outgoing::{Outbound, Outgoing, Place};
+use crate::outgoing::{FrameSender, OutgoingFrame, SendPermit};
 
-/// Serves the requests of a server's peers.
+/// Handles the requests of a server's peers.
 #[async_trait]
 pub trait Handler: Send + Sync + 'static {
-    /// Serves one request of the peer that calls itself `peer`.
+    /// Handles one request of the peer that identified itself as `peer`.
     ///
-    /// Runs in a task of its own and may hand `replies` to another task. It is not
-    /// dropped when the caller gives up, so that work which must be ended is; an
-    /// unending handler watches [`Replies::closed`]. When the server stops, a
-    /// handler that has not ended after a second is dropped.
+    /// Runs in its own task and may pass `replies` to another task. The future is not
+    /// dropped when the caller gives up, so that work which must be completed is; a
+    /// handler without an end of its own watches [`Replies::closed`]. When the server
+    /// stops, handlers get one second to end before they are dropped.
     async fn handle(&self, peer: &str, request: request::Kind, replies: Replies);
 }
 
-/// Takes the replies to one request. If it is dropped before the last reply the
+/// Sends the replies to one request. If it is dropped before the last reply, the
 /// caller gets [`LinkError::Lost`](crate::LinkError::Lost).
 pub struct Replies {
     id: u64,
-    out: Outbound,
-    ended: mpsc::UnboundedSender<Ended>,
-    gone: CancellationToken,
-    leaving: CancellationToken,
+    out: FrameSender,
+    ended: mpsc::UnboundedSender<RequestEnd>,
+    cancelled: CancellationToken,
+    stopping: CancellationToken,
     in_flight: Arc<AtomicUsize>,
     answered: AtomicBool,
 }
 
-/// Tells the session that a request needs it no more.
+/// Notifies the session that the [`Replies`] of a request were dropped.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct RequestEnd {
     pub(crate) id: u64,
     pub(crate) answered: bool,
 }
 
-/// What the replies to all requests of one session share.
+/// State shared by the replies to all requests of one session.
 #[derive(Debug, Clone)]
 pub(crate) struct Shared {
-    pub(crate) out: Outbound,
-    pub(crate) ended: mpsc::UnboundedSender<Ended>,
+    pub(crate) out: FrameSender,
+    pub(crate) ended: mpsc::UnboundedSender<RequestEnd>,
     /// Cancelled when the server stops.
-    pub(crate) leaving: CancellationToken,
-    /// Requests without their last reply.
+    pub(crate) stopping: CancellationToken,
+    /// Number of requests whose last reply is not sent yet.
     pub(crate) in_flight: Arc<AtomicUsize>,
 }
 
 impl Replies {
-    pub(crate) fn new(id: u64, shared: &Shared, gone: CancellationToken) -> Self {
+    pub(crate) fn new(id: u64, shared: &Shared, cancelled: CancellationToken) -> Self {
         shared.in_flight.fetch_add(1, Ordering::AcqRel);
         Self {
             id,
             out: shared.out.clone(),
             ended: shared.ended.clone(),
-            gone,
-            leaving: shared.leaving.clone(),
+            cancelled,
+            stopping: shared.stopping.clone(),
             in_flight: Arc::clone(&shared.in_flight),
             answered: AtomicBool::new(false),
         }
     }
 
-    /// Sends one reply, the `last` one or not. Waits while the caller is slow.
+    /// Sends one reply; `last` marks the final one. Waits while the send queue is full.
     ///
-    /// In place of a reply over the frame limit the caller gets
+    /// In place of a reply that exceeds the frame limit, the caller gets
     /// [`LinkError::Lost`](crate::LinkError::Lost).
     ///
     /// # Errors
-    /// When the caller takes no more replies, or the last one was sent already.
+    /// When the caller accepts no more replies, or the last one was already sent.
     pub async fn send(&self, kind: reply::Kind, last: bool) -> Result<(), Closed> {
-        if self.answered.load(Ordering::Acquire) || self.gone.is_cancelled() {
+        if self.answered.load(Ordering::Acquire) || self.cancelled.is_cancelled() {
             return Err(Closed);
         }
 
         let mut last = last;
-        let mut outgoing = Outgoing::reply(self.id, kind, last);
-        if outgoing.size() > MAX_FRAME {
+        let mut frame = OutgoingFrame::reply(self.id, kind, last);
+        if frame.size() > MAX_FRAME {
             last = true;
-            outgoing = failure(self.id, FailureKind::Unspecified, "reply is too large");
+            frame = failure(self.id, FailureKind::Unspecified, "reply is too large");
         }
 
-        // Nothing is marked before there is room: a send that is dropped while it
-        // waits leaves the request unanswered.
-        let place = match self.out.try_reserve() {
-            Some(place) => place,
-            None => self.wait().await?,
+        // The request is marked as answered only once there is a place in the queue, so
+        // that it stays unanswered if this future is dropped while it waits.
+        let permit = match self.out.try_reserve() {
+            Some(permit) => permit,
+            None => self.reserve().await?,
         };
         if last && !self.finish() {
             return Err(Closed);
         }
-        place.send(outgoing);
+        permit.send(frame);
         Ok(())
     }
 
-    /// Ends when the caller takes no more replies or the server stops.
+    /// Waits until the caller accepts no more replies or the server stops.
     pub async fn closed(&self) {
         tokio::select! {
-            () = self.gone.cancelled() => {}
-            () = self.leaving.cancelled() => {}
+            () = self.cancelled.cancelled() => {}
+            () = self.stopping.cancelled() => {}
         }
     }
 
-    /// Marks the request as answered; false if it was already. Comes before the
-    /// reply is queued, so that the caller's next request finds this one's place.
+    /// Marks the request as answered; false if it was already.
+    ///
+    /// Called before the last reply is queued, so that a request which the caller sends
+    /// after that reply no longer counts this one as in flight.
     fn finish(&self) -> bool {
         let first = !self.answered.swap(true, Ordering::AcqRel);
         if first {
@@ -119,22 +121,22 @@
         first
     }
 
-    async fn wait(&self) -> Result<Place<'_>, Closed> {
+    async fn reserve(&self) -> Result<SendPermit<'_>, Closed> {
         tokio::select! {
             biased;
-            () = self.gone.cancelled() => Err(Closed),
-            place = self.out.reserve() => place,
+            () = self.cancelled.cancelled() => Err(Closed),
+            permit = self.out.reserve() => permit,
         }
     }
 }
 
 impl Drop for Replies {
     fn drop(&mut self) {
-        let ended = Ended {
+        let ended = RequestEnd {
             id: self.id,
             answered: !self.finish(),
         };
-        // A session that is over needs no word.
+        // Fails only if the session has ended, which then needs no notification.
         let _over = self.ended.send(ended);
     }
 }
@@ -147,13 +149,13 @@
     }
 }
 
-/// A failure as the last reply.
-pub(crate) fn failure(id: u64, kind: FailureKind, detail: &str) -> Outgoing {
+/// Creates a failure as the last reply.
+pub(crate) fn failure(id: u64, kind: FailureKind, detail: &str) -> OutgoingFrame {
     let failure = Failure {
         kind: kind.into(),
         detail: detail.to_owned(),
     };
-    Outgoing::reply(id, reply::Kind::Failure(failure), true)
+    OutgoingFrame::reply(id, reply::Kind::Failure(failure), true)
 }
 
 /// The handler shared by all sessions of a server.
--- a/crates/link/src/secret.rs
+++ b/crates/link/src/secret.rs
@@ -1,4 +1,4 @@
-//! The secret shared by all processes of one system.
+//! The secret shared by all processes of one fleet.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// A shared secret; its text is shown nowhere.
+/// A shared secret. Its `Debug` output hides the text.
 #[derive(Clone)]
 pub struct Secret(Arc<str>);
 
@@ -17,13 +17,13 @@
         Self(Arc::from(text.as_ref()))
     }
 
-    /// HMAC-SHA-256 of the parts, each with its length before it so that no two
-    /// lists of parts read alike.
+    /// Returns the HMAC-SHA-256 of the parts. Each part is prefixed with its length, so
+    /// that different lists of parts never give the same input.
     pub(crate) fn sign(&self, parts: &[&[u8]]) -> Vec<u8> {
         self.mac(parts).finalize().into_bytes().to_vec()
     }
 
-    /// Whether `proof` is the parts' HMAC; takes the same time for any wrong one.
+    /// Whether `proof` is the HMAC of the parts, compared in constant time.
     pub(crate) fn verify(&self, parts: &[&[u8]], proof: &[u8]) -> bool {
         self.mac(parts).verify_slice(proof).is_ok()
     }
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves the peers that prove the secret.
+//! Accepts connections and serves the peers that authenticate.
 
 use std::fmt;
 use std::io;
@@ -15,10 +15,10 @@
 use crate::replies::SharedHandler;
 use crate::{Handler, Secret, handshake, session};
 
-/// Connections that may be in the handshake at once; more are dropped.
-const MAX_STRANGERS: usize = 256;
+/// Maximum number of connections in the handshake at once; further ones are dropped.
+const MAX_HANDSHAKES: usize = 256;
 
-/// Pause after a failed accept, which mostly means too many open files.
+/// Delay after a failed accept, whose usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// A running server.
@@ -29,21 +29,23 @@
     task: JoinHandle<()>,
 }
 
-/// What all connections of a server share.
+/// State shared by all connections of a server.
 struct Shared {
     name: String,
     secret: Secret,
     handler: SharedHandler,
-    strangers: Semaphore,
+    handshakes: Semaphore,
     refused: Arc<AtomicU64>,
     stop: CancellationToken,
 }
 
 impl Server {
-    /// Serves `handler` on a bound listener under the server's `name`.
+    /// Serves `handler` on a bound listener; `name` is what clients see as the peer.
+    ///
+    /// Must be called within a tokio runtime.
     ///
     /// # Errors
-    /// When the listener can't be used. Must be called inside tokio.
+    /// When the listener can't be used.
     pub fn bind(
         listener: std::net::TcpListener,
         name: &str,
@@ -60,7 +62,7 @@
             name: name.to_owned(),
             secret,
             handler,
-            strangers: Semaphore::new(MAX_STRANGERS),
+            handshakes: Semaphore::new(MAX_HANDSHAKES),
             refused: Arc::clone(&refused),
             stop: stop.clone(),
         });
@@ -78,17 +80,18 @@
         self.address
     }
 
-    /// Connections dropped because the peer did not prove the secret in time.
+    /// Number of connections dropped because the peer did not authenticate in time or
+    /// too many were in the handshake.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
-    /// Stops accepting connections and requests, lets handlers end for a second,
-    /// and joins all tasks.
+    /// Stops accepting connections and requests, waits up to one second for the
+    /// handlers to end, and joins all tasks.
     pub async fn stop(self) {
         self.stop.disarm().cancel();
-        // A panic there has been reported by the runtime already.
+        // The runtime has already reported a panic of the task.
         let _ended = self.task.await;
     }
 }
@@ -107,7 +110,7 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((socket, _from)) => {
-                    connections.spawn(welcome(socket, Arc::clone(&shared)));
+                    connections.spawn(serve_connection(socket, Arc::clone(&shared)));
                 }
                 Err(_error) => tokio::time::sleep(ACCEPT_PAUSE).await,
             },
@@ -120,9 +123,9 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Serves the connection if its peer proves the secret.
-async fn welcome(socket: TcpStream, shared: Arc<Shared>) {
-    let Ok(place) = shared.strangers.try_acquire() else {
+/// Serves the connection if its peer authenticates.
+async fn serve_connection(socket: TcpStream, shared: Arc<Shared>) {
+    let Ok(permit) = shared.handshakes.try_acquire() else {
         shared.refused.fetch_add(1, Ordering::Relaxed);
         return;
     };
@@ -130,15 +133,15 @@
         return;
     }
 
-    let proved = tokio::select! {
-        proved = handshake::accept(socket, &shared.name, &shared.secret) => proved,
+    let authenticated = tokio::select! {
+        authenticated = handshake::accept(socket, &shared.name, &shared.secret) => authenticated,
         () = shared.stop.cancelled() => return,
     };
-    drop(place);
-    let Ok(proved) = proved else {
+    drop(permit);
+    let Ok(authenticated) = authenticated else {
         shared.refused.fetch_add(1, Ordering::Relaxed);
         return;
     };
     let handler = Arc::clone(&shared.handler);
-    session::serve(proved, handler, shared.stop.clone()).await;
+    session::serve(authenticated, handler, shared.stop.clone()).await;
 }
--- a/crates/link/src/stream.rs
+++ b/crates/link/src/stream.rs
@@ -1,4 +1,4 @@
-//! Several replies to one request.
+//! The stream of replies to one request.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,19 +8,19 @@
 use tokio::sync::mpsc;
 
 use crate::LinkError;
-use crate::connection::{Connection, value};
-use crate::outgoing::Ticket;
-use crate::pending::ended;
+use crate::connection::{Connection, into_result};
+use crate::outgoing::SendState;
+use crate::pending::closed_error;
 
 /// The replies to one request, in order. Dropping it cancels the request.
 ///
-/// Up to 1024 replies wait for their taker. Beyond that the stream holds up its
-/// connection for up to 50 ms and then ends with [`LinkError::Lost`], so a long
-/// stream that is taken slowly should have a client of its own.
+/// Up to 1024 replies are queued. When the queue is full, the stream blocks its
+/// connection for up to 50 ms and then ends with [`LinkError::Lost`], so a long stream
+/// that is consumed slowly should have its own client.
 pub struct ReplyStream {
     connection: Arc<Connection>,
     id: u64,
-    ticket: Arc<Ticket>,
+    send_state: Arc<SendState>,
     replies: mpsc::Receiver<Reply>,
     done: bool,
 }
@@ -29,45 +29,45 @@
     pub(crate) fn new(
         connection: Arc<Connection>,
         id: u64,
-        ticket: Arc<Ticket>,
+        send_state: Arc<SendState>,
         replies: mpsc::Receiver<Reply>,
     ) -> Self {
         Self {
             connection,
             id,
-            ticket,
+            send_state,
             replies,
             done: false,
         }
     }
 
-    /// The next reply; `None` after the last one or after the stream broke off,
-    /// which one error tells. May be dropped and called again.
+    /// Waits for the next reply. A stream that is interrupted yields one error; `None`
+    /// follows that error or the last reply. Cancel safe.
     pub async fn next(&mut self) -> Option<Result<reply::Kind, LinkError>> {
         if self.done {
             return None;
         }
         let Some(reply) = self.replies.recv().await else {
             self.done = true;
-            return Some(Err(ended(&self.ticket)));
+            return Some(Err(closed_error(&self.send_state)));
         };
         self.done = reply.last;
-        Some(value(reply))
+        Some(into_result(reply))
     }
 
-    /// As [`ReplyStream::next`], but gives up after `timeout` with
-    /// [`LinkError::Timeout`]; the stream can be asked again then.
+    /// Like [`ReplyStream::next`], but returns [`LinkError::Timeout`] after `timeout`. The
+    /// stream remains usable.
     ///
-    /// A connection on which no byte came in that time is closed.
+    /// Closes the connection if no byte arrives within `timeout`.
     pub async fn next_within(
         &mut self,
         timeout: Duration,
     ) -> Option<Result<reply::Kind, LinkError>> {
-        let heard = self.connection.heard();
+        let received = self.connection.received();
         match tokio::time::timeout(timeout, self.next()).await {
             Ok(next) => next,
             Err(_elapsed) => {
-                self.connection.check_silence(heard);
+                self.connection.close_if_silent(received);
                 Some(Err(LinkError::Timeout))
             }
         }
@@ -76,7 +76,7 @@
 
 impl Drop for ReplyStream {
     fn drop(&mut self) {
-        self.connection.give_up(self.id, &self.ticket);
+        self.connection.cancel(self.id, &self.send_state);
     }
 }
 
--- a/crates/link/tests/calls.rs
+++ b/crates/link/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and reply streams over a real connection.
+//! Calls and reply streams over a TCP connection.
 
 mod common;
 
@@ -6,21 +6,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use common::{LONG, PAGES, UNENDING, connect, listener, pair, ping, serve};
+use common::{ENDLESS, LONG_TIMEOUT, PAGES, connect, listener, pair, ping, serve};
 use swiftlink_link::{Client, LinkError, MAX_FRAME};
 use swiftlink_wire::link::{
     FailureKind, Follow, GetBudgets, GetPending, Settle, Submit, reply, request,
 };
 use tokio::task::JoinHandle;
 
-const SHORT: Duration = Duration::from_millis(500);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-fn spawn_silent(client: &Arc<Client>) -> JoinHandle<Result<reply::Kind, LinkError>> {
+fn spawn_hanging_call(client: &Arc<Client>) -> JoinHandle<Result<reply::Kind, LinkError>> {
     let client = Arc::clone(client);
-    tokio::spawn(async move { client.call(silent(), LONG).await })
+    tokio::spawn(async move { client.call(hanging_request(), LONG_TIMEOUT).await })
 }
 
-fn silent() -> request::Kind {
+fn hanging_request() -> request::Kind {
     request::Kind::GetBudgets(GetBudgets::default())
 }
 
@@ -29,18 +29,20 @@
     request::Kind::Follow(Follow { stream, from })
 }
 
-/// Waits until `count` is at least `least`.
-async fn reach(count: &AtomicU64, least: u64) {
+/// Waits until `count` is at least `min`.
+async fn wait_for_count(count: &AtomicU64, min: u64) {
     let reached = async {
-        while count.load(Ordering::SeqCst) < least {
+        while count.load(Ordering::SeqCst) < min {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(LONG, reached).await.expect("reached");
+    tokio::time::timeout(LONG_TIMEOUT, reached)
+        .await
+        .expect("reached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_calls_at_once_get_their_own_replies() {
+async fn concurrent_calls_get_their_own_replies() {
     let (server, fake, client) = pair().await;
     assert_eq!(client.peer().as_deref(), Some("ledger-1"));
 
@@ -49,10 +51,10 @@
         let client = Arc::clone(&client);
         callers.push(tokio::spawn(async move {
             for _call in 0..20 {
-                let reply = client.call(ping(), LONG).await.expect("a pong");
+                let reply = client.call(ping(), LONG_TIMEOUT).await.expect("a pong");
                 assert!(matches!(reply, reply::Kind::Pong(pong) if pong.name == "router-1"));
             }
-            let mut stream = client.stream(follow(0)).await.expect("up");
+            let mut stream = client.stream(follow(0)).await.expect("connected");
             for expected in 1..=PAGES {
                 let page = stream.next().await.expect("a page").expect("no error");
                 assert!(matches!(page, reply::Kind::Page(page) if page.next == expected));
@@ -71,25 +73,25 @@
 #[tokio::test]
 async fn a_dropped_stream_and_a_dropped_call_cancel_their_requests() {
     let (server, fake, client) = pair().await;
-    let mut stream = client.stream(follow(UNENDING)).await.expect("up");
+    let mut stream = client.stream(follow(ENDLESS)).await.expect("connected");
     stream.next().await.expect("a page").expect("no error");
     drop(stream);
-    reach(&fake.left, 1).await;
+    wait_for_count(&fake.cancelled, 1).await;
 
-    let call = spawn_silent(&client);
-    reach(&fake.calls, 2).await;
+    let call = spawn_hanging_call(&client);
+    wait_for_count(&fake.calls, 2).await;
     call.abort();
-    reach(&fake.left, 2).await;
+    wait_for_count(&fake.cancelled, 2).await;
     assert!(client.is_up());
     server.stop().await;
 }
 
 #[tokio::test]
-async fn a_stream_that_is_not_taken_ends_and_holds_up_no_one() {
+async fn an_unread_stream_ends_and_does_not_block_other_calls() {
     let (server, fake, client) = pair().await;
-    let mut stream = client.stream(follow(UNENDING)).await.expect("up");
-    reach(&fake.left, 1).await;
-    client.call(ping(), LONG).await.expect("a pong");
+    let mut stream = client.stream(follow(ENDLESS)).await.expect("connected");
+    wait_for_count(&fake.cancelled, 1).await;
+    client.call(ping(), LONG_TIMEOUT).await.expect("a pong");
 
     let mut end = None;
     while let Some(next) = stream.next().await {
@@ -106,75 +108,83 @@
         wait_ms: 1,
         ..Submit::default()
     };
-    let reply = client.call(request::Kind::Submit(submit), LONG).await;
+    let reply = client
+        .call(request::Kind::Submit(submit), LONG_TIMEOUT)
+        .await;
     assert!(matches!(reply, Ok(reply::Kind::Stored(_))), "{reply:?}");
     server.stop().await;
 }
 
 #[tokio::test]
-async fn a_handler_that_drops_its_replies_or_panics_loses_the_call() {
+async fn a_call_is_lost_if_its_handler_drops_the_replies_or_panics() {
     let (server, _fake, client) = pair().await;
     let dropped = request::Kind::GetPending(GetPending::default());
     let panics = request::Kind::Settle(Settle::default());
     for kind in [dropped, panics] {
-        assert_eq!(client.call(kind, LONG).await, Err(LinkError::Lost));
+        assert_eq!(client.call(kind, LONG_TIMEOUT).await, Err(LinkError::Lost));
     }
     server.stop().await;
 }
 
 #[tokio::test]
-async fn a_request_over_the_limit_is_not_sent() {
+async fn a_request_over_the_size_limit_is_not_sent() {
     let (server, fake, client) = pair().await;
     let submit = Submit {
         stream: "x".repeat(MAX_FRAME),
         ..Submit::default()
     };
-    let result = client.call(request::Kind::Submit(submit), LONG).await;
+    let result = client
+        .call(request::Kind::Submit(submit), LONG_TIMEOUT)
+        .await;
     let Err(LinkError::Failed(failure)) = result else {
         panic!("{result:?}");
     };
     assert_eq!(failure.kind(), FailureKind::BadRequest);
-    client.call(ping(), LONG).await.expect("still up");
+    client.call(ping(), LONG_TIMEOUT).await.expect("still up");
     assert_eq!(fake.calls.load(Ordering::SeqCst), 1);
     server.stop().await;
 }
 
 #[tokio::test]
-async fn a_call_without_reply_times_out_and_a_silent_connection_is_closed() {
+async fn a_call_without_a_reply_times_out_and_closes_a_silent_connection() {
     let (server, fake, client) = pair().await;
-    let result = client.call(silent(), SHORT).await;
+    let result = client.call(hanging_request(), SHORT_TIMEOUT).await;
     assert_eq!(result, Err(LinkError::Timeout));
     assert!(!client.is_up());
-    // The connection goes, so the handler sees its caller leave; a new one comes.
-    reach(&fake.left, 1).await;
-    assert!(client.wait_up(LONG).await);
-
-    // One that carried anything meanwhile stays.
-    let call = client.call(silent(), SHORT);
-    let (late, pong) = tokio::join!(call, client.call(ping(), LONG));
+    // The connection is closed, so the handler sees the cancellation; then the client
+    // reconnects.
+    wait_for_count(&fake.cancelled, 1).await;
+    assert!(client.wait_up(LONG_TIMEOUT).await);
+
+    // A connection on which other replies arrived meanwhile stays open.
+    let call = client.call(hanging_request(), SHORT_TIMEOUT);
+    let (late, pong) = tokio::join!(call, client.call(ping(), LONG_TIMEOUT));
     assert_eq!(late, Err(LinkError::Timeout));
     assert!(pong.is_ok() && client.is_up());
     server.stop().await;
 }
 
 #[tokio::test]
-async fn without_a_server_a_call_is_down() {
-    let held = listener();
-    let address = held.local_addr().expect("bound");
+async fn a_call_before_the_handshake_fails_as_down() {
+    let listener = listener();
+    let address = listener.local_addr().expect("bound");
     let client = Client::spawn(address, "router-1", common::secret());
-    // The listener takes the connection but no one proves anything.
-    assert_eq!(client.call(ping(), LONG).await, Err(LinkError::Down));
+    // The connection opens, but no server performs the handshake.
+    assert_eq!(
+        client.call(ping(), LONG_TIMEOUT).await,
+        Err(LinkError::Down)
+    );
     assert!(client.stream(ping()).await.is_err());
     assert!(!client.is_up() && client.peer().is_none());
     client.stop().await;
 }
 
 #[tokio::test]
-async fn a_restarted_server_is_found_and_calls_in_flight_are_lost() {
+async fn a_restart_loses_the_calls_in_flight_and_the_client_reconnects() {
     let (server, fake, client) = pair().await;
     let address = server.address();
-    let call = spawn_silent(&client);
-    reach(&fake.calls, 1).await;
+    let call = spawn_hanging_call(&client);
+    wait_for_count(&fake.calls, 1).await;
     server.stop().await;
 
     assert_eq!(call.await.expect("no panic"), Err(LinkError::Lost));
@@ -182,26 +192,29 @@
     let again = std::net::TcpListener::bind(address).expect("the same port");
     let (server, _fake, _address) = serve(again);
     let pong = async {
-        while client.call(ping(), LONG).await.is_err() {
-            client.wait_up(LONG).await;
+        while client.call(ping(), LONG_TIMEOUT).await.is_err() {
+            client.wait_up(LONG_TIMEOUT).await;
         }
     };
-    tokio::time::timeout(LONG, pong)
+    tokio::time::timeout(LONG_TIMEOUT, pong)
         .await
         .expect("connected again");
     server.stop().await;
     client.stop().await;
-    assert_eq!(client.call(ping(), LONG).await, Err(LinkError::Down));
+    assert_eq!(
+        client.call(ping(), LONG_TIMEOUT).await,
+        Err(LinkError::Down)
+    );
 }
 
 #[tokio::test]
 async fn a_stopped_client_ends_its_calls() {
     let (server, fake, address) = serve(listener());
     let client = connect(address).await;
-    let call = spawn_silent(&client);
-    reach(&fake.calls, 1).await;
+    let call = spawn_hanging_call(&client);
+    wait_for_count(&fake.calls, 1).await;
     client.stop().await;
     assert_eq!(call.await.expect("no panic"), Err(LinkError::Lost));
-    reach(&fake.left, 1).await;
+    wait_for_count(&fake.cancelled, 1).await;
     server.stop().await;
 }
--- a/crates/link/tests/common/mod.rs
+++ b/crates/link/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A handler and a pair of ends for the tests.
+//! A fake handler, and a connected server and client, for the tests.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -9,22 +9,25 @@
 use swiftlink_link::{Client, Handler, Replies, Secret, Server};
 use swiftlink_wire::link::{Page, Ping, Pong, Stored, reply, request};
 
-/// Longer than anything here takes, even on a busy machine.
-pub const LONG: Duration = Duration::from_secs(30);
+/// Longer than any step of the tests takes, even on a busy machine.
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Replies to one `Follow` when its `from` is not [`UNENDING`].
+/// Number of replies to a `Follow` whose `from` is not [`ENDLESS`].
 pub const PAGES: u64 = 5;
 
-/// Offset from which a follow never ends.
-pub const UNENDING: u64 = 1_000;
+/// Value of `from` for which a `Follow` never ends.
+pub const ENDLESS: u64 = 1_000;
 
-/// Ping: pong. Follow: pages. GetBudgets: never answers but for a closed caller.
-/// GetPending: drops its replies. Settle: panics.
+/// A handler whose behavior depends on the kind of the request.
+///
+/// `Ping` gets a pong, `Follow` gets pages, `Submit` gets one reply, which is the last if
+/// its `wait_ms` is 0. `GetBudgets` waits until the request is cancelled and sends no
+/// reply. `Settle` panics. All others drop their replies.
 #[derive(Debug, Default)]
 pub struct Fake {
-    /// Handlers that saw their caller leave.
-    pub left: AtomicU64,
-    /// Calls of any kind.
+    /// Number of handlers that saw their request cancelled.
+    pub cancelled: AtomicU64,
+    /// Number of requests of any kind.
     pub calls: AtomicU64,
 }
 
@@ -38,16 +41,16 @@
                     name: peer.to_owned(),
                     ..Pong::default()
                 });
-                let _gone = replies.send(pong, true).await;
+                let _closed = replies.send(pong, true).await;
             }
-            request::Kind::Follow(follow) => self.pages(follow.from, replies).await,
+            request::Kind::Follow(follow) => self.send_pages(follow.from, replies).await,
             request::Kind::GetBudgets(_) => {
                 replies.closed().await;
-                self.left.fetch_add(1, Ordering::SeqCst);
+                self.cancelled.fetch_add(1, Ordering::SeqCst);
             }
             request::Kind::Submit(submit) => {
                 let stored = reply::Kind::Stored(Stored::default());
-                let _gone = replies.send(stored, submit.wait_ms == 0).await;
+                let _closed = replies.send(stored, submit.wait_ms == 0).await;
             }
             request::Kind::GetPending(_)
             | request::Kind::Reserve(_)
@@ -57,23 +60,23 @@
             | request::Kind::Ends(_)
             | request::Kind::Tally(_)
             | request::Kind::GetSeen(_) => drop(replies),
-            request::Kind::Settle(_) => panic!("as the test wants"),
+            request::Kind::Settle(_) => panic!("intended by the test"),
         }
     }
 }
 
 impl Fake {
-    async fn pages(&self, from: u64, replies: Replies) {
+    async fn send_pages(&self, from: u64, replies: Replies) {
         let mut next = 0;
-        while from == UNENDING || next < PAGES {
+        while from == ENDLESS || next < PAGES {
             next += 1;
             let page = Page {
                 next,
                 ..Page::default()
             };
-            let last = next == PAGES && from != UNENDING;
+            let last = next == PAGES && from != ENDLESS;
             if replies.send(reply::Kind::Page(page), last).await.is_err() {
-                self.left.fetch_add(1, Ordering::SeqCst);
+                self.cancelled.fetch_add(1, Ordering::SeqCst);
                 return;
             }
         }
@@ -98,7 +101,11 @@
 
 pub async fn connect(address: SocketAddr) -> Arc<Client> {
     let client = Client::spawn(address, "router-1", secret());
-    assert!(client.wait_up(LONG).await, "{:?}", client.last_error());
+    assert!(
+        client.wait_up(LONG_TIMEOUT).await,
+        "{:?}",
+        client.last_error()
+    );
     client
 }
 
--- a/crates/link/tests/strangers.rs
+++ b/crates/link/tests/strangers.rs
@@ -1,4 +1,4 @@
-//! Peers that don't know the secret, replay a handshake, or send rubbish.
+//! Peers that don't know the secret, replay a handshake, or send invalid frames.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 use bytes::BytesMut;
-use common::{LONG, listener, pair, ping, secret, serve};
+use common::{LONG_TIMEOUT, listener, pair, ping, secret, serve};
 use proptest::prelude::*;
 use swiftlink_link::{Client, FrameCodec, Secret, Server};
 use swiftlink_wire::link::{Challenge, Frame, Hello, Ping, Request, frame, request};
@@ -30,8 +30,11 @@
 async fn read_frame(socket: &mut TcpStream) -> (Frame, BytesMut) {
     let mut bytes = BytesMut::new();
     loop {
-        let mut copy = bytes.clone();
-        if let Some(frame) = FrameCodec::default().decode(&mut copy).expect("sound") {
+        let mut input = bytes.clone();
+        if let Some(frame) = FrameCodec::default()
+            .decode(&mut input)
+            .expect("a valid frame")
+        {
             return (frame, bytes);
         }
         let read = socket.read_buf(&mut bytes).await.expect("open");
@@ -39,19 +42,19 @@
     }
 }
 
-/// Sends `bytes` after the challenge; whether the server answered at all.
-async fn answered(address: SocketAddr, bytes: &[u8]) -> bool {
+/// Sends `bytes` after the challenge; returns whether the server sent anything back.
+async fn gets_response(address: SocketAddr, bytes: &[u8]) -> bool {
     let mut socket = TcpStream::connect(address).await.expect("listening");
     let _challenge = read_frame(&mut socket).await;
-    let _cut = socket.write_all(bytes).await;
-    let _cut = socket.shutdown().await;
+    let _closed = socket.write_all(bytes).await;
+    let _closed = socket.shutdown().await;
     let mut rest = Vec::new();
-    let _cut = socket.read_to_end(&mut rest).await;
+    let _closed = socket.read_to_end(&mut rest).await;
     !rest.is_empty()
 }
 
-async fn until_refused(server: &Server, least: u64) {
-    while server.refused() < least {
+async fn wait_for_refusals(server: &Server, min: u64) {
+    while server.refused() < min {
         tokio::task::yield_now().await;
     }
 }
@@ -59,14 +62,14 @@
 #[tokio::test]
 async fn a_client_with_another_secret_is_refused() {
     let (server, fake, address) = serve(listener());
-    let stranger = Client::spawn(address, "router-1", Secret::new("wrong horse"));
-    let refused = tokio::time::timeout(LONG, until_refused(&server, 2));
+    let client = Client::spawn(address, "router-1", Secret::new("wrong horse"));
+    let refused = tokio::time::timeout(LONG_TIMEOUT, wait_for_refusals(&server, 2));
     refused.await.expect("refused twice");
 
-    assert!(!stranger.is_up());
-    assert!(stranger.call(ping(), LONG).await.is_err());
+    assert!(!client.is_up());
+    assert!(client.call(ping(), LONG_TIMEOUT).await.is_err());
     assert_eq!(fake.calls.load(Ordering::SeqCst), 0);
-    stranger.stop().await;
+    client.stop().await;
     server.stop().await;
 }
 
@@ -76,7 +79,7 @@
     let wrong = Secret::new("wrong horse");
     let server = Server::bind(listener(), "ledger-1", wrong, fake).expect("bound");
     let client = Client::spawn(server.address(), "router-1", secret());
-    let refused = tokio::time::timeout(LONG, until_refused(&server, 2));
+    let refused = tokio::time::timeout(LONG_TIMEOUT, wait_for_refusals(&server, 2));
     refused.await.expect("refused twice");
     assert!(!client.is_up());
     client.stop().await;
@@ -87,17 +90,17 @@
 async fn a_replayed_handshake_is_refused() {
     let (server, fake, address) = serve(listener());
 
-    // Passes the frames of a true client on and keeps its hello.
-    let between = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let client = Client::spawn(between.local_addr().expect("bound"), "router-1", secret());
-    let (mut near, _from) = between.accept().await.expect("the client");
-    let mut far = TcpStream::connect(address).await.expect("the server");
-    let (_frame, challenge) = read_frame(&mut far).await;
-    near.write_all(&challenge).await.expect("open");
-    let (hello_frame, hello) = read_frame(&mut near).await;
+    // A proxy that forwards the frames of a genuine client and records its hello.
+    let proxy = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let client = Client::spawn(proxy.local_addr().expect("bound"), "router-1", secret());
+    let (mut client_side, _from) = proxy.accept().await.expect("the client");
+    let mut server_side = TcpStream::connect(address).await.expect("the server");
+    let (_frame, challenge) = read_frame(&mut server_side).await;
+    client_side.write_all(&challenge).await.expect("open");
+    let (hello_frame, hello) = read_frame(&mut client_side).await;
     assert!(matches!(hello_frame.body, Some(frame::Body::Hello(_))));
-    far.write_all(&hello).await.expect("open");
-    let (welcome_frame, welcome) = read_frame(&mut far).await;
+    server_side.write_all(&hello).await.expect("open");
+    let (welcome_frame, welcome) = read_frame(&mut server_side).await;
     assert!(matches!(welcome_frame.body, Some(frame::Body::Welcome(_))));
 
     // Client to server: the same hello against another challenge.
@@ -105,17 +108,17 @@
     replay.extend_from_slice(&encode(frame::Body::Request(Request {
         kind: Some(request::Kind::Ping(Ping {})),
     })));
-    assert!(!answered(address, &replay).await);
+    assert!(!gets_response(address, &replay).await);
     assert_eq!(fake.calls.load(Ordering::SeqCst), 0);
 
     // Server to client: the same challenge and welcome against another nonce.
-    drop(near);
-    let (mut near, _from) = between.accept().await.expect("the client again");
-    near.write_all(&challenge).await.expect("open");
-    let _hello = read_frame(&mut near).await;
-    near.write_all(&welcome).await.expect("open");
+    drop(client_side);
+    let (mut client_side, _from) = proxy.accept().await.expect("the client again");
+    client_side.write_all(&challenge).await.expect("open");
+    let _hello = read_frame(&mut client_side).await;
+    client_side.write_all(&welcome).await.expect("open");
     let mut rest = Vec::new();
-    let _reset = near.read_to_end(&mut rest).await;
+    let _reset = client_side.read_to_end(&mut rest).await;
     assert!(rest.is_empty() && !client.is_up());
 
     client.stop().await;
@@ -123,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn strangers_get_no_answer() {
+async fn unauthenticated_peers_get_no_response() {
     let (server, fake, client) = pair().await;
     let hello = Hello {
         name: "router-1".to_owned(),
@@ -138,24 +141,24 @@
         encode(frame::Body::Hello(hello)),
         encode(frame::Body::Challenge(challenge)),
         encode(frame::Body::Request(request)),
-        // A length far over what a stranger may send.
+        // A length far over the limit before authentication.
         BytesMut::from(&[0, 0x7f, 0xff, 0xff, 1][..]),
         BytesMut::from(&b"GET / HTTP/1.1\r\n\r\n"[..]),
     ];
     for case in cases {
-        assert!(!answered(server.address(), &case).await, "{case:?}");
+        assert!(!gets_response(server.address(), &case).await, "{case:?}");
     }
     assert_eq!(server.refused(), 5);
 
-    // The others are left alone.
-    client.call(ping(), LONG).await.expect("a pong");
+    // Authenticated clients are not affected.
+    client.call(ping(), LONG_TIMEOUT).await.expect("a pong");
     assert_eq!(fake.calls.load(Ordering::SeqCst), 1);
     server.stop().await;
 }
 
 proptest! {
     #[test]
-    fn random_bytes_never_panic_the_decoder(
+    fn the_decoder_does_not_panic_on_random_bytes(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         framed in any::<bool>(),
     ) {
