--- a/crates/log/tests/replica.rs
+++ b/crates/log/tests/replica.rs
@@ -267,7 +267,8 @@
         }
         log.push(value_record(log.len() as u64, 1));
     }
-    // After offset 10 there are chunks of both snapshots and two values.
+    // After offset 10: the remaining chunks of the first snapshot, those of the second and
+    // two values.
     replica.feed(0, &log).expect("no hole");
     assert_eq!(replica.newest_snapshot(), Some(10));
     assert_eq!(replica.since_snapshot(), 2);
