--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -53,7 +53,7 @@
 
     fn check(&self) -> Result<(), LogError> {
         if self.is_unreachable.load(Ordering::SeqCst) {
-            return Err(LogError::Out("cut".to_owned()));
+            return Err(LogError::Unavailable("cut".to_owned()));
         }
         Ok(())
     }
