--- a/crates/admission/src/shortfall.rs
+++ b/crates/admission/src/shortfall.rs
@@ -99,11 +99,11 @@
     let retry = case.claim_time.max(Duration::from_secs(1));
     if !case.has_log {
         let detail = "no rights are held here and the log can't grant any";
-        return Refusal::not_run(RefusalKind::LogOut, detail).with_retry(retry);
+        return Refusal::not_run(RefusalKind::LogUnavailable, detail).with_retry(retry);
     }
     if case.free.is_none_or(|free| free >= case.cost) {
         let detail = "the log is not expected to decide a claim of rights in time";
-        return Refusal::not_run(RefusalKind::LogOut, detail).with_retry(retry);
+        return Refusal::not_run(RefusalKind::LogUnavailable, detail).with_retry(retry);
     }
     let detail = "the budget's tokens are held elsewhere";
     Refusal::not_run(RefusalKind::BudgetBusy, detail).with_retry(retry)
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -65,7 +65,7 @@
     assert_eq!(kind(&spent), (RefusalKind::NoBudget, false));
     let mut out = case(&[]);
     out.has_log = false;
-    assert_eq!(kind(&out), (RefusalKind::LogOut, true));
+    assert_eq!(kind(&out), (RefusalKind::LogUnavailable, true));
 }
 
 #[test]
@@ -77,7 +77,7 @@
         let Step::Refuse(refusal) = shortfall(&late) else {
             panic!("a claim after the deadline is of no use");
         };
-        assert_eq!(refusal.kind, RefusalKind::LogOut);
+        assert_eq!(refusal.kind, RefusalKind::LogUnavailable);
         assert_eq!(refusal.retry_after, Some(late.claim_time));
         assert!(!refusal.detail.contains("elsewhere"), "{}", refusal.detail);
     }
--- a/crates/bench/src/grants/world.rs
+++ b/crates/bench/src/grants/world.rs
@@ -309,7 +309,7 @@
             return;
         };
         let waiter = *waiter;
-        self.turn_away(now, holder, waiter, RefusalKind::LogOut);
+        self.turn_away(now, holder, waiter, RefusalKind::LogUnavailable);
     }
 
     /// The request gets nothing at this holder.
--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -246,7 +246,7 @@
     /// No claim was decided within the wait.
     fn late(&self, told: &News, may_relay: bool) -> Shortage {
         let detail = "the log did not decide a claim of rights in time";
-        let refusal = Refusal::not_run(RefusalKind::LogOut, detail);
+        let refusal = Refusal::not_run(RefusalKind::LogUnavailable, detail);
         let listed: &[Holder] = if may_relay { &told.holders } else { &[] };
         Shortage {
             refusal: refusal.with_retry(Duration::from_secs(1)),
--- a/crates/router/src/intent.rs
+++ b/crates/router/src/intent.rs
@@ -147,7 +147,7 @@
                 // The drop of `intent` abandons it: from here on it is never dispatched.
                 event!(warn, "intent.undecided", key = key_use.key(), why = error);
                 let detail = "the log did not decide the request's intent in time";
-                Err(Refusal::not_run(RefusalKind::LogOut, detail).with_retry(LOG_RETRY))
+                Err(Refusal::not_run(RefusalKind::LogUnavailable, detail).with_retry(LOG_RETRY))
             }
         }
     }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -220,7 +220,7 @@
     let kind = refusal.kind;
     let elsewhere = matches!(
         kind,
-        RefusalKind::BudgetBusy | RefusalKind::LogOut | RefusalKind::KeyInUse
+        RefusalKind::BudgetBusy | RefusalKind::LogUnavailable | RefusalKind::KeyInUse
     );
     elsewhere && !call.relayed
 }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -80,7 +80,9 @@
                 } else {
                     repeat::judge(&self.node.past, &workspace, key, refusal)
                 };
-                if once && refusal.outcome == Outcome::NotRun && refusal.kind != RefusalKind::LogOut
+                if once
+                    && refusal.outcome == Outcome::NotRun
+                    && refusal.kind != RefusalKind::LogUnavailable
                 {
                     self.free(task, &workspace, key, deadline).await;
                 }
@@ -245,7 +247,7 @@
 
 fn log_out() -> Refusal {
     let detail = "the log is out, and the request must be recorded there before it runs";
-    Refusal::not_run(RefusalKind::LogOut, detail).with_retry(LOG_RETRY)
+    Refusal::not_run(RefusalKind::LogUnavailable, detail).with_retry(LOG_RETRY)
 }
 
 /// What a request that found no rights came to.
--- a/crates/router/tests/account.rs
+++ b/crates/router/tests/account.rs
@@ -105,7 +105,7 @@
     });
     let start = Instant::now();
     let shortage = account.obtain(60, policy(), true).await.expect_err("out");
-    assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
+    assert_eq!(shortage.refusal.kind, RefusalKind::LogUnavailable);
     assert!(start.elapsed() < policy().claim_wait, "paused clock");
 }
 
@@ -118,7 +118,7 @@
     };
     let start = Instant::now();
     let shortage = account.obtain(60, policy, true).await.expect_err("silent");
-    assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
+    assert_eq!(shortage.refusal.kind, RefusalKind::LogUnavailable);
     assert_eq!(start.elapsed(), Duration::ZERO, "paused clock");
 }
 
@@ -130,7 +130,7 @@
         .obtain(60, policy(), true)
         .await
         .expect_err("unanswered");
-    assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
+    assert_eq!(shortage.refusal.kind, RefusalKind::LogUnavailable);
     assert_eq!(shortage.refusal.outcome, Outcome::NotRun);
     assert_eq!(start.elapsed(), policy().claim_wait, "paused clock");
 }
--- a/crates/router/tests/claim.rs
+++ b/crates/router/tests/claim.rs
@@ -233,7 +233,7 @@
     })
     .await;
     let refused = bench.ask(100).await.expect_err("the log is out");
-    assert_eq!(refused.refusal.kind, RefusalKind::LogOut);
+    assert_eq!(refused.refusal.kind, RefusalKind::LogUnavailable);
     until(|| (bench.account.grant.available() > 0).then_some(())).await;
     assert_eq!(bench.account.claim_time(), FIRST_CLAIM_TIME);
     bench.stop().await;
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -53,7 +53,7 @@
     /// No backend server of the pool can take work.
     NoServer,
     /// The log is out, and the request needs it before it may run.
-    LogOut,
+    LogUnavailable,
     /// The process is stopping, or does not know a recent configuration.
     Unavailable,
     /// The key is older than the time for which keys are remembered.
@@ -84,7 +84,7 @@
             Self::KeyReused => 422,
             Self::Overloaded | Self::BudgetBusy => 429,
             Self::ServerFailed => 502,
-            Self::NoServer | Self::LogOut | Self::Unavailable => 503,
+            Self::NoServer | Self::LogUnavailable | Self::Unavailable => 503,
         }
     }
 
@@ -101,7 +101,7 @@
             Self::BudgetBusy => "budget-busy",
             Self::Overloaded => "overloaded",
             Self::NoServer => "no-server",
-            Self::LogOut => "log-out",
+            Self::LogUnavailable => "log-out",
             Self::Unavailable => "unavailable",
             Self::KeyTooOld => "key-too-old",
             Self::KeyInUse => "key-in-use",
@@ -124,7 +124,7 @@
             Self::BudgetBusy => "The budget's free tokens are held elsewhere for now",
             Self::Overloaded => "Too much work is queued",
             Self::NoServer => "No backend server can take the request",
-            Self::LogOut => "The platform's log is out",
+            Self::LogUnavailable => "The platform's log is out",
             Self::Unavailable => "This router takes no new work",
             Self::KeyTooOld => "The idempotency key is too old",
             Self::KeyInUse => "The idempotency key is in use",
