--- a/crates/types/src/amount.rs
+++ b/crates/types/src/amount.rs
@@ -1,12 +1,13 @@
-//! Amounts of tokens and what they cost.
+//! Token counts and the budget tokens that they cost.
 
-/// A count of tokens: of a budget, a grant, a charge or a run.
+/// Number of tokens in a budget, a grant, a charge or a request.
 pub type Tokens = u64;
 
-/// Price of the standard priority class: one budget token for one token run.
+/// Price of the standard priority class, in thousandths of a budget token per processed token:
+/// one for one.
 pub const PRICE_UNIT: u32 = 1_000;
 
-/// Budget tokens drawn by `tokens` run at `price` thousandths, rounded up.
+/// Budget tokens charged for `tokens` processed tokens at `price` thousandths each, rounded up.
 ///
 /// Saturates at [`Tokens::MAX`].
 #[must_use]
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of requests and of process starts.
+//! Identifiers of requests and of router processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,26 +9,27 @@
 
 use crate::{VmName, WallMs};
 
-/// Key of a request within its workspace: a UUIDv7, which carries its creation time.
+/// Idempotency key of a request, unique within its workspace: a UUIDv7, which includes its creation
+/// time.
 ///
-/// The same key stands for the same request, whichever router receives it.
+/// Equal keys identify the same request, whichever router receives it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestKey(Uuid);
 
-/// Why a text or byte string is no request key.
+/// Why a text or byte string is not a request key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// Not a UUID at all.
+    /// Not a UUID.
     #[error("not a UUID")]
     NotUuid,
-    /// A UUID of another version than 7.
+    /// A UUID, but not of version 7.
     #[error("not a UUID of version 7")]
     NotV7,
 }
 
 impl RequestKey {
-    /// A new key with the creation time `at` and random bits from the system.
+    /// Creates a key with creation time `at` and random bits of the operating system.
     #[must_use]
     pub fn generate(at: WallMs) -> Self {
         let random = Uuid::new_v4().into_bytes();
@@ -37,10 +38,10 @@
         Self(uuid::Builder::from_unix_timestamp_millis(at, &tail).into_uuid())
     }
 
-    /// Reads the 16 bytes of a key.
+    /// Decodes a key from its 16 bytes.
     ///
     /// # Errors
-    /// When the bytes are not a UUID of version 7.
+    /// Fails if the bytes are not a UUID of version 7.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, KeyError> {
         let uuid = Uuid::from_slice(bytes).map_err(|_error| KeyError::NotUuid)?;
         Self::from_uuid(uuid)
@@ -52,7 +53,7 @@
         self.0.as_bytes()
     }
 
-    /// Creation time that the key carries.
+    /// Creation time stored in the key.
     #[must_use]
     pub fn created_ms(&self) -> WallMs {
         let bytes = self.0.as_bytes();
@@ -84,12 +85,12 @@
     }
 }
 
-/// One start of one router process.
+/// One run of a router process.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Incarnation {
     /// VM that the process runs on.
     pub vm: VmName,
-    /// Start time in microseconds since 1970; grows with each start on the VM.
+    /// Start time in microseconds since 1970; increases with each start on the VM.
     pub epoch: u64,
 }
 
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -1,20 +1,20 @@
-//! Identity of a backend server process.
+//! Identity of a run of a backend server.
 
 use crate::name::ServerName;
 use crate::time::WallMs;
 
-/// One run of a backend server, from its start to its end. A server may restart under the same
-/// name; the state known about one instance does not apply to the next.
+/// One run of a backend server, from start to exit. A server may restart under the same name; what
+/// is known about one instance does not apply to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ServerInstance {
     /// Name of the server.
     pub name: ServerName,
-    /// When the instance started, by the server's clock; 0 if unknown.
+    /// Start time by the server's clock; 0 if unknown.
     pub started: WallMs,
 }
 
 impl ServerInstance {
-    /// The instance of server `name` that started at `started`.
+    /// Creates the identity of the instance of server `name` that started at `started`.
     #[must_use]
     pub fn new(name: ServerName, started: WallMs) -> Self {
         Self { name, started }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,12 +1,12 @@
-//! Names, identifiers, amounts and refusals shared by every swiftlink crate.
+//! Names, identifiers, token counts and refusals shared by every swiftlink crate.
 //!
-//! Nothing here does I/O. Names are shared immutable strings; amounts are whole
-//! tokens; a request that is not served in full ends in a [`Refusal`], whose
-//! [`Outcome`] tells the caller what is known of the run.
+//! Nothing here does I/O. Names are shared immutable strings; costs are counted in whole tokens;
+//! a request that is not served in full ends in a [`Refusal`], whose [`Outcome`] tells the caller
+//! whether the request was executed.
 //!
-//! Reading order: `name` (what is declared), `amount` (what a request costs), `id`
-//! (the key of a request, and [`Incarnation`], one start of a router), `start` (one start of a
-//! backend server), `time`, and `refusal`.
+//! Reading order: `name` (names of configured objects), `amount` (the cost of a request), `id`
+//! (the idempotency key of a request, and [`Incarnation`], one run of a router process),
+//! `instance` (one run of a backend server), `time`, and `refusal`.
 
 mod amount;
 mod id;
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of declared things, as shared immutable strings.
+//! Names of configured objects, as shared immutable strings.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -60,7 +60,7 @@
 }
 
 name_type! {
-    /// Name of a workspace, the unit that prepays and is charged.
+    /// Name of a workspace, the customer that prepays and is charged.
     WorkspaceName
 }
 name_type! {
@@ -72,7 +72,7 @@
     ClassName
 }
 name_type! {
-    /// Name of a pool of backend servers; for model pools it is the model's name.
+    /// Name of a pool of backend servers; a pool of runners has the name of its model.
     PoolName
 }
 name_type! {
@@ -80,7 +80,7 @@
     ServerName
 }
 name_type! {
-    /// Name of an API key's resource; never the secret itself.
+    /// Name of the resource that describes an API key, as opposed to the secret.
     KeyName
 }
 name_type! {
@@ -101,6 +101,6 @@
 }
 
 name_type! {
-    /// Name of a stream on the platform's log.
+    /// Name of a stream of the platform's log.
     StreamName
 }
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,26 +1,26 @@
-//! Refusals: why a request was not served in full, and what is known of its run.
+//! Refusals: why a request was not served in full, and whether it was executed.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Header of every answer of a router that says what is known of the run.
+/// Response header, set in every answer of a router, that holds the request's [`Outcome`].
 pub const OUTCOME_HEADER: &str = "swiftlink-outcome";
 
-/// What is known of a request's run.
+/// Whether a request was executed, as far as the router knows.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request ran to its end and was charged.
+    /// The request was executed completely and charged.
     Ran,
-    /// No backend server saw the request and no charge exists or will exist.
+    /// No backend server received the request; it was not and will not be charged.
     NotRun,
-    /// The request may have run, in part or in whole.
+    /// The request may have been executed, in part or completely.
     Unknown,
 }
 
 impl Outcome {
-    /// The header's value.
+    /// Value of [`OUTCOME_HEADER`].
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -36,35 +36,35 @@
 pub enum RefusalKind {
     /// The bearer key is missing or unknown.
     Unauthenticated,
-    /// The key's workspace may not use the pool, the class or the stream.
+    /// The API key's workspace may not use the pool, the priority class or the stream.
     Forbidden,
     /// The model, pool or path does not exist.
     UnknownPool,
-    /// A field of the body or a header is malformed; the refusal names it.
+    /// A field of the body or a header is malformed; [`Refusal::field`] names it.
     Malformed,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The budget has no free rights anywhere that the log or a peer knows of.
+    /// The budget has no free quota at any router, according to the log and to the peers.
     NoBudget,
-    /// The budget's rights are held elsewhere or are in quarantine for now.
+    /// The budget's quota is held by other routers or in quarantine for now.
     BudgetBusy,
-    /// The queue is full or the deadline can't be met.
+    /// The queue is full, or the request would miss its deadline.
     Overloaded,
-    /// No backend server of the pool can take work.
+    /// No backend server of the pool accepts requests.
     NoServer,
-    /// The log is out, and the request needs it before it may run.
+    /// The log is unavailable, and the request must be recorded there before it may be executed.
     LogUnavailable,
-    /// The process is stopping, or does not know a recent configuration.
+    /// The process is shutting down, or its configuration is stale.
     Unavailable,
-    /// The key is older than the time for which keys are remembered.
+    /// The idempotency key is older than the retention time of keys.
     KeyTooOld,
-    /// Another run of the same key exists or may exist.
+    /// Another execution under the same idempotency key exists or may exist.
     KeyInUse,
-    /// The key was sent before with another request.
+    /// The idempotency key was used before for a different request.
     KeyReused,
-    /// The backend server failed after it may have begun to run the request.
+    /// The backend server failed after it may have started to execute the request.
     ServerFailed,
-    /// The resume token is broken or its stream is gone.
+    /// The resume token is invalid, or its stream no longer exists.
     StreamGone,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Last part of the problem type, stable across versions.
+    /// Last part of the problem type URN, stable across versions.
     #[must_use]
     pub fn slug(self) -> &'static str {
         match self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// One-line title for people.
+    /// Human-readable title of one line.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
@@ -135,23 +135,23 @@
     }
 }
 
-/// The final answer to a request that is not served in full.
+/// Final answer to a request that is not served in full.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub kind: RefusalKind,
-    /// What is known of the run.
+    /// Whether the request was executed.
     pub outcome: Outcome,
-    /// One sentence for people.
+    /// Human-readable explanation, one sentence.
     pub detail: String,
-    /// The field or header at fault, for [`RefusalKind::Malformed`].
+    /// The invalid field or header, for [`RefusalKind::Malformed`].
     pub field: Option<String>,
-    /// When a new try is expected to be taken.
+    /// Time after which a retry is expected to be accepted.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request that no backend server saw.
+    /// Refuses a request that no backend server received.
     #[must_use]
     pub fn not_run(kind: RefusalKind, detail: impl Into<String>) -> Self {
         let detail = detail.into();
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Refuses a request that may have been executed.
     #[must_use]
     pub fn unknown(kind: RefusalKind, detail: impl Into<String>) -> Self {
         Self {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A refusal of a request whose key has run to its end and was charged.
+    /// Refuses a request whose idempotency key was executed completely and charged.
     #[must_use]
     pub fn ran(kind: RefusalKind, detail: impl Into<String>) -> Self {
         Self {
@@ -182,21 +182,21 @@
         }
     }
 
-    /// Names the field at fault.
+    /// Sets the name of the invalid field.
     #[must_use]
     pub fn with_field(mut self, field: impl Into<String>) -> Self {
         self.field = Some(field.into());
         self
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn with_retry(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Whole seconds for `Retry-After`, rounded up, at least one.
+    /// Value of `Retry-After`: seconds, rounded up, at least one.
     #[must_use]
     pub fn retry_secs(&self) -> Option<u64> {
         let after = self.retry_after?;
@@ -204,7 +204,7 @@
         Some(whole.max(1))
     }
 
-    /// The body of the answer (RFC 9457).
+    /// Body of the response (RFC 9457).
     #[must_use]
     pub fn problem(&self) -> Problem {
         Problem {
@@ -219,7 +219,7 @@
     }
 }
 
-/// Body of an `application/problem+json` answer (RFC 9457).
+/// Body of an `application/problem+json` response (RFC 9457).
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Problem {
     /// Problem type, a URN that ends in the refusal's slug.
@@ -229,14 +229,14 @@
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// What happened to this request.
+    /// Explanation for this request.
     pub detail: String,
-    /// What is known of the run.
+    /// Whether the request was executed.
     pub outcome: Outcome,
-    /// Field or header at fault.
+    /// The invalid field or header.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// When to come back, in milliseconds.
+    /// Time after which a retry is expected to be accepted, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_ms: Option<u64>,
 }
