--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -66,7 +66,7 @@
     assert_eq!(kind(&spent), (RefusalKind::NoBudget, false));
     let mut log_down = case(&[]);
     log_down.is_log_up = false;
-    assert_eq!(kind(&log_down), (RefusalKind::LogOut, true));
+    assert_eq!(kind(&log_down), (RefusalKind::LogUnavailable, true));
 }
 
 #[test]
@@ -78,7 +78,7 @@
         let ShortfallAction::Refuse(refusal) = shortfall(&late) else {
             panic!("a claim after the deadline must be refused");
         };
-        assert_eq!(refusal.kind, RefusalKind::LogOut);
+        assert_eq!(refusal.kind, RefusalKind::LogUnavailable);
         assert_eq!(refusal.retry_after, Some(late.claim_time));
         assert!(!refusal.detail.contains("elsewhere"), "{}", refusal.detail);
     }
