--- a/crates/client/src/in_force.rs
+++ b/crates/client/src/already_applied.rs
@@ -1,5 +1,5 @@
-//! Whether a refused change is what is in force anyway: the caller's own change,
-//! whose answer was lost, looks like someone else's.
+//! Detects conflicts with the caller's own change: if the response to a change was lost, a
+//! repetition is rejected as if somebody else had made the change.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -8,15 +8,19 @@
 use crate::api::{Applied, AppliedChange, ApplyRequest, Resource};
 use crate::{ClientError, Operator};
 
-/// HTTP status of a resource that does not exist.
+/// HTTP status of a missing resource.
 const NOT_FOUND: u16 = 404;
 
 impl Operator {
-    /// The resources of `request` as they are, if all of them are as it asks.
+    /// Returns the current versions of the resources in `request` if all of them already have
+    /// the requested state, else `None`.
     ///
     /// # Errors
-    /// When no operator answers.
-    pub async fn in_force(&self, request: &ApplyRequest) -> Result<Option<Applied>, ClientError> {
+    /// Fails if a resource can't be read.
+    pub async fn already_applied(
+        &self,
+        request: &ApplyRequest,
+    ) -> Result<Option<Applied>, ClientError> {
         let mut results = Vec::new();
         for change in &request.changes {
             let current = match self.get(&change.kind, &change.name).await {
@@ -25,7 +29,7 @@
                 Err(error) => return Err(error),
             };
             let spec = change.spec.as_ref().filter(|_spec| !change.delete);
-            if !is_same(&change.kind, spec, current.as_ref()) {
+            if !has_state(&change.kind, spec, current.as_ref()) {
                 return Ok(None);
             }
             results.push(AppliedChange {
@@ -44,33 +48,33 @@
     }
 }
 
-fn is_same(kind: &str, asked: Option<&Value>, current: Option<&Resource>) -> bool {
-    match (asked, current) {
+fn has_state(kind: &str, requested: Option<&Value>, current: Option<&Resource>) -> bool {
+    match (requested, current) {
         (None, None) => true,
-        (Some(asked), Some(current)) => same_spec(kind, asked, &current.spec),
+        (Some(requested), Some(current)) => specs_equal(kind, requested, &current.spec),
         _ => false,
     }
 }
 
-/// Whether two specifications of a kind say the same, defaults filled in.
+/// Returns whether two specifications of a kind are equal once defaults are filled in.
 #[must_use]
-pub fn same_spec(kind: &str, one: &Value, other: &Value) -> bool {
+pub fn specs_equal(kind: &str, one: &Value, other: &Value) -> bool {
     let Ok(kind) = kind.parse::<Kind>() else {
         return false;
     };
     match kind {
-        Kind::Workspace => same::<Workspace>(one, other),
-        Kind::Budget => same::<Budget>(one, other),
-        Kind::TopUp => same::<TopUp>(one, other),
-        Kind::Class => same::<Class>(one, other),
-        Kind::Pool => same::<Pool>(one, other),
-        Kind::Server => same::<Server>(one, other),
-        Kind::Key => same::<Key>(one, other),
-        Kind::Retirement => same::<Retirement>(one, other),
+        Kind::Workspace => parsed_equal::<Workspace>(one, other),
+        Kind::Budget => parsed_equal::<Budget>(one, other),
+        Kind::TopUp => parsed_equal::<TopUp>(one, other),
+        Kind::Class => parsed_equal::<Class>(one, other),
+        Kind::Pool => parsed_equal::<Pool>(one, other),
+        Kind::Server => parsed_equal::<Server>(one, other),
+        Kind::Key => parsed_equal::<Key>(one, other),
+        Kind::Retirement => parsed_equal::<Retirement>(one, other),
     }
 }
 
-fn same<T: DeserializeOwned + PartialEq>(one: &Value, other: &Value) -> bool {
+fn parsed_equal<T: DeserializeOwned + PartialEq>(one: &Value, other: &Value) -> bool {
     let parse = |value: &Value| serde_json::from_value::<T>(value.clone()).ok();
     let one = parse(one);
     one.is_some() && one == parse(other)
--- a/crates/client/src/api.rs
+++ b/crates/client/src/api.rs
@@ -3,23 +3,23 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Request header that names a change set, so that a repeated call is the same change.
+/// Request header with the id of a change set: an idempotency key for repeated calls.
 pub const CHANGE_ID_HEADER: &str = "swiftlink-change-id";
 
-/// Request header with which a client states that it uses a change id for the first time.
+/// Request header by which a client states that it uses a change id for the first time.
 ///
-/// Only then can the operator answer `applied: "no"`: without it an earlier
-/// call with the same id may have reached the log.
+/// Only then can the operator respond with `applied: "no"`: otherwise an earlier call with the
+/// same id may have reached the log.
 pub const CHANGE_FIRST_HEADER: &str = "swiftlink-change-first";
 
-/// Media type of error answers (RFC 9457).
+/// Media type of error responses (RFC 9457).
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// Body of `POST /v1/apply`: all changes are accepted, or none is.
+/// Body of `POST /v1/apply`: a set of changes that is accepted or rejected atomically.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// Who asks, for the record on the log.
+    /// Author of the change, recorded on the log.
     #[serde(default)]
     pub author: String,
     /// The changes, in order.
@@ -34,43 +34,44 @@
     pub kind: String,
     /// Resource name.
     pub name: String,
-    /// Version that the change was made from; 0: must not exist; absent: whatever is current.
+    /// Base version: the change is rejected unless it is current. 0: the resource must not exist;
+    /// absent: any version.
     #[serde(default)]
     pub base: Option<u64>,
-    /// Removes the resource.
+    /// Whether the resource is deleted.
     #[serde(default)]
     pub delete: bool,
-    /// The new specification; absent when `delete`.
+    /// The new specification; absent if `delete` is set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Value>,
 }
 
-/// Answer to an accepted change set.
+/// Response to an accepted change set.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Applied {
-    /// The change set's id.
+    /// Id of the change set.
     pub id: String,
-    /// Version of the configuration with the changes in it.
+    /// Configuration version that includes the changes.
     pub version: u64,
-    /// One per change, in order.
+    /// One result per change, in order.
     pub results: Vec<AppliedChange>,
 }
 
-/// What became of one accepted change.
+/// Result of one accepted change.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct AppliedChange {
     /// Resource kind.
     pub kind: String,
     /// Resource name.
     pub name: String,
-    /// The resource's version after the change.
+    /// Version of the resource after the change.
     pub version: u64,
-    /// For a top-up: whether a ledger was seen to count it in the budget before the answer.
+    /// For a top-up: whether a ledger credited it to the budget before the response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub effective: Option<bool>,
 }
 
-/// One resource as it is in force.
+/// A resource in its current version.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Resource {
     /// Resource kind.
@@ -79,14 +80,14 @@
     pub name: String,
     /// Version of its last change.
     pub version: u64,
-    /// Its specification.
+    /// Specification, defaults included.
     pub spec: Value,
 }
 
-/// Answer to a list request.
+/// Response to a list request.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct ResourceList {
-    /// Version of the configuration that was listed; watch from here on.
+    /// Configuration version of the list; a watch from it continues without a gap.
     pub version: u64,
     /// The resources, by name.
     pub items: Vec<Resource>,
@@ -98,14 +99,15 @@
 pub enum WatchLine {
     /// A resource changed.
     Event(WatchEvent),
-    /// Nothing changed up to this version; sent so that a dead connection is noticed.
+    /// All changes up to this version were sent; also keeps dead connections detectable.
     Heartbeat {
-        /// Version in force at the operator.
+        /// Current version at the operator.
         heartbeat: u64,
     },
-    /// The operator can't continue this watch; list again, then watch from that version.
+    /// The operator can't continue this watch. The client must list the resources again and
+    /// watch from that version.
     End {
-        /// Why.
+        /// Reason of the end.
         end: String,
     },
 }
@@ -113,93 +115,94 @@
 /// A change of a resource.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Version of the configuration with the change in it.
+    /// Configuration version that includes the change.
     pub version: u64,
     /// Resource kind.
     pub kind: String,
     /// Resource name.
     pub name: String,
-    /// Whether the resource was removed.
+    /// Whether the resource was deleted.
     pub deleted: bool,
-    /// Its new specification; null when removed.
+    /// The new specification; null if the resource was deleted.
     pub spec: Value,
 }
 
-/// Answer to `GET /v1/status`.
+/// Response to `GET /v1/status`.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// Newest configuration version that the operator or any process knows.
+    /// Newest configuration version known to the operator or any process.
     pub newest: u64,
-    /// Version in force at the operator that answers.
+    /// Current version at the operator that responds.
     pub version: u64,
-    /// Time since the operator last knew the end of the configuration stream (ms);
-    /// null if it never did.
+    /// Time since the operator was last up to date with the configuration stream (ms); null if
+    /// it never was.
     pub age_ms: Option<u64>,
-    /// Every process of the operator's settings.
+    /// The processes in the operator's settings.
     pub processes: Vec<ProcessStatus>,
 }
 
-/// State of one process.
+/// Status of one process.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct ProcessStatus {
     /// Name in the operator's settings.
     pub name: String,
-    /// What it is: `router`, `ledger`, `operator`.
+    /// Role: `router`, `ledger` or `operator`.
     pub role: String,
-    /// Its admin address.
+    /// Address of its admin endpoint.
     pub admin: String,
-    /// Whether it answered in time.
+    /// Whether it responded in time.
     pub reachable: bool,
-    /// Why it did not.
+    /// Error, if it did not respond.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
-    /// Configuration version that it has in force.
+    /// Its current configuration version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// Whether that is the newest version known.
+    /// Whether that is the newest known version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<bool>,
-    /// Its own status answer, whole.
+    /// Its unmodified status response.
     #[serde(default)]
     pub status: Value,
 }
 
-/// What a ledger knows of one budget (amounts in tokens).
+/// A ledger's view of one budget (amounts in tokens).
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Budget {
     /// Budget name.
     pub name: String,
-    /// Ledger that answered.
+    /// Ledger that provided the view.
     pub ledger: String,
     /// Sum of all top-ups.
     pub topped_up: u64,
-    /// Unspent rights that routers hold.
+    /// Unspent quota held by routers.
     pub granted: u64,
-    /// Spent.
+    /// Amount charged for requests.
     pub charged: u64,
-    /// Neither spent, granted nor in quarantine.
+    /// Amount that is neither charged, granted nor quarantined.
     pub free: u64,
-    /// Rights of retired routers, not yet released.
+    /// Quota of retired routers that isn't released yet.
     pub quarantined: u64,
-    /// Offset of the last record folded.
+    /// Offset of the last folded record.
     pub offset: u64,
-    /// Age of that knowledge (ms).
+    /// Age of the view (ms).
     pub age_ms: u64,
-    /// Names of the top-ups counted.
+    /// Names of the credited top-ups.
     pub top_ups: Vec<String>,
 }
 
-/// Whether a change set that got no decision may have been applied.
+/// Whether a change set without a known decision may have been applied.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Certainty {
-    /// It certainly was not and will not be, unless it is sent again.
+    /// It was not and will not be applied unless it is sent again.
     No,
-    /// It may have been, or may yet be. Repeat the call with the same id to learn which.
+    /// It may have been applied or may still be. A repeated call with the same id returns the
+    /// decision.
     Unknown,
 }
 
-/// Why one change of a set was rejected.
+/// A rejected change of a set.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct RejectedChange {
     /// Resource kind.
@@ -208,45 +211,45 @@
     pub name: String,
     /// `conflict`, `invalid`, `missing`, `in-use` or `immutable`.
     pub reason: String,
-    /// One sentence for people.
+    /// Human-readable explanation.
     pub detail: String,
-    /// The current version, for a conflict; 0 when the resource does not exist.
+    /// For a conflict, the current version; 0 if the resource does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<u64>,
 }
 
-/// Body of an error answer (RFC 9457).
+/// Body of an error response (RFC 9457).
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Problem {
-    /// Problem type, a URN that ends in a stable word.
+    /// Problem type: a URN with a stable last part.
     #[serde(rename = "type")]
     pub kind: String,
-    /// One-line title, the same for every problem of the type.
+    /// One-line title, the same for all problems of the type.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// What happened to this request.
+    /// Explanation specific to this request.
     #[serde(default)]
     pub detail: String,
-    /// Field at fault.
+    /// Invalid field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// Rejected changes; the whole set was rejected with them.
+    /// Rejected changes, because of which the whole set was rejected.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rejects: Vec<RejectedChange>,
-    /// For an apply without decision: whether it may have been applied.
+    /// For an undecided apply: whether it may have been applied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub applied: Option<Certainty>,
-    /// The change set's id, to repeat the call with.
+    /// Id of the change set, for a repeated call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change_id: Option<String>,
-    /// When to come back (ms).
+    /// Time after which to retry (ms).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_ms: Option<u64>,
 }
 
 impl Problem {
-    /// Whether a change was made from an old version.
+    /// Returns whether a change was rejected because its base version is outdated.
     #[must_use]
     pub fn is_conflict(&self) -> bool {
         self.rejects
--- a/crates/client/src/document/check.rs
+++ b/crates/client/src/document/check.rs
@@ -1,18 +1,18 @@
-//! Checks a specification by the rules that decide on the log.
+//! Checks a specification with the rules that are applied to change sets on the log.
 
 use serde_json::Value;
 use swiftlink_log::Fold as _;
 use swiftlink_resource::{Fold, RejectReason, Verdict};
 use swiftlink_wire::log::{Change, ChangeSet};
 
-/// A field at fault, and what is wrong with it.
-pub(super) struct Fault {
+/// An invalid field and a description of the error.
+pub(super) struct FieldError {
     pub(super) field: String,
     pub(super) detail: String,
 }
 
-/// Checks one resource on its own; whether what it refers to exists is left to the log.
-pub(super) fn check(kind: &str, name: &str, spec: &Value) -> Result<(), Fault> {
+/// Checks a single resource. References are checked only when the change set is decided.
+pub(super) fn check(kind: &str, name: &str, spec: &Value) -> Result<(), FieldError> {
     let change = Change {
         kind: kind.to_owned(),
         name: name.to_owned(),
@@ -30,12 +30,12 @@
     };
     for reject in rejects {
         if let RejectReason::Invalid { field, detail } = reject.reason {
-            // A place in the JSON means nothing to who wrote TOML.
+            // A position in the JSON is meaningless to the author of the TOML document.
             let detail = match detail.rsplit_once(" at line ") {
                 Some((head, _place)) => head.to_owned(),
                 None => detail,
             };
-            return Err(Fault { field, detail });
+            return Err(FieldError { field, detail });
         }
     }
     Ok(())
--- a/crates/client/src/document/error.rs
+++ b/crates/client/src/document/error.rs
@@ -1,51 +1,51 @@
-//! Errors of a document, with file, line and key.
+//! Errors in a document, with file, line and key.
 
 use std::ops::Range;
 
-/// Why a document can't be used.
+/// Error of reading or parsing a document.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
     /// The file can't be read.
     #[error("{file}: can't be read")]
     Read {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// Why.
+        /// I/O error.
         #[source]
         cause: std::io::Error,
     },
     /// The text is not TOML.
     #[error("{file}:{line}: {detail}")]
     Syntax {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// Line, from 1.
+        /// Line number, starting from 1.
         line: usize,
-        /// What is wrong.
+        /// Description of the error.
         detail: String,
     },
-    /// A key is unknown, missing or has a wrong value.
+    /// A key is unknown, missing or has an invalid value.
     #[error("{file}:{line}: {key}: {detail}")]
     Invalid {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// Line, from 1.
+        /// Line number, starting from 1.
         line: usize,
         /// Kind, resource name and field.
         key: String,
-        /// What is wrong.
+        /// Description of the error.
         detail: String,
     },
 }
 
-/// Makes errors for one text.
-pub(super) struct Faults<'a> {
+/// Source of a document; creates errors with positions in it.
+pub(super) struct Source<'a> {
     pub(super) file: &'a str,
     pub(super) text: &'a str,
 }
 
-impl Faults<'_> {
-    pub(super) fn syntax(&self, error: &toml::de::Error) -> DocumentError {
+impl Source<'_> {
+    pub(super) fn syntax_error(&self, error: &toml::de::Error) -> DocumentError {
         let start = error.span().map_or(0, |span| span.start);
         DocumentError::Syntax {
             file: self.file.to_owned(),
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn at(&self, span: Range<usize>, key: &str, detail: String) -> DocumentError {
+    pub(super) fn error_at(&self, span: Range<usize>, key: &str, detail: String) -> DocumentError {
         DocumentError::Invalid {
             file: self.file.to_owned(),
             line: self.line(span.start),
--- a/crates/client/src/document/mod.rs
+++ b/crates/client/src/document/mod.rs
@@ -1,6 +1,6 @@
-//! TOML documents of resources, as `swiftlink apply -f` takes them.
+//! Parses the TOML documents of `swiftlink apply -f`.
 //!
-//! Each resource is one table of an array named after its kind:
+//! Each resource is an entry in an array of tables named after its kind:
 //!
 //! ```toml
 //! [[budget]]
@@ -9,12 +9,11 @@
 //! [[key]]
 //! name = "notaries-portal"
 //! workspace = "notaries"
-//! secret = "..."    # hashed here; only the hash is sent
+//! secret = "..."    # hashed locally; only the hash is sent
 //! ```
 //!
-//! `version = N` makes the change conditional on that version being current
-//! (0: the resource must not exist yet); without it the change is made to
-//! whatever is current.
+//! `version = N` makes the change conditional on `N` being the current version of the resource
+//! (0: the resource must not exist). Without it the change applies to any version.
 
 mod check;
 mod error;
@@ -32,12 +31,12 @@
 use crate::api::ApplyChange;
 
 pub use error::DocumentError;
-use error::Faults;
+use error::Source;
 
-/// Reads the file at `path`.
+/// Reads and parses the document at `path`.
 ///
 /// # Errors
-/// When it can't be read or is not a document of valid resources.
+/// Fails if the file can't be read or isn't a document of valid resources.
 pub fn load(path: &Path) -> Result<Vec<ApplyChange>, DocumentError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path);
@@ -48,18 +47,18 @@
     parse(&file, &text)
 }
 
-/// Reads a document; `file` is its name in errors. Changes keep the file's order.
+/// Parses a document; `file` is its name in errors. Changes are in document order.
 ///
 /// # Errors
-/// When it is not a document of valid resources.
+/// Fails if the text isn't a document of valid resources.
 pub fn parse(file: &str, text: &str) -> Result<Vec<ApplyChange>, DocumentError> {
-    let faults = Faults { file, text };
-    let table = DeTable::parse(text).map_err(|error| faults.syntax(&error))?;
+    let source = Source { file, text };
+    let table = DeTable::parse(text).map_err(|error| source.syntax_error(&error))?;
     let mut changes = Vec::new();
     for (kind, list) in table.get_ref() {
-        let entries = entries(&faults, kind, list)?;
+        let entries = entries(&source, kind, list)?;
         for entry in entries {
-            let change = Entry::new(&faults, kind.get_ref(), entry)?.change()?;
+            let change = Entry::new(&source, kind.get_ref(), entry)?.change()?;
             changes.push((entry.span().start, change));
         }
     }
@@ -70,24 +69,24 @@
 type Element<'t> = Spanned<DeValue<'t>>;
 
 fn entries<'a, 't>(
-    faults: &Faults<'_>,
+    source: &Source<'_>,
     kind: &Spanned<toml::de::DeString<'t>>,
     list: &'a Element<'t>,
 ) -> Result<Vec<&'a Element<'t>>, DocumentError> {
-    let word = kind.get_ref().as_ref();
-    if word.parse::<Kind>().is_err() {
+    let name = kind.get_ref().as_ref();
+    if name.parse::<Kind>().is_err() {
         let known = Kind::ALL.map(Kind::as_str).join(", ");
         let detail = format!("unknown kind; known are {known}");
-        return Err(faults.at(kind.span(), word, detail));
+        return Err(source.error_at(kind.span(), name, detail));
     }
-    let detail = format!("must be written as [[{word}]]");
+    let detail = format!("must be written as [[{name}]]");
     let Some(array) = list.get_ref().as_array() else {
-        return Err(faults.at(kind.span(), word, detail));
+        return Err(source.error_at(kind.span(), name, detail));
     };
     let entries: Vec<_> = array.iter().collect();
     for entry in &entries {
         if !entry.get_ref().is_table() {
-            return Err(faults.at(entry.span(), word, detail));
+            return Err(source.error_at(entry.span(), name, detail));
         }
     }
     Ok(entries)
@@ -95,7 +94,7 @@
 
 /// One `[[kind]]` table.
 struct Entry<'a, 't> {
-    faults: &'a Faults<'a>,
+    source: &'a Source<'a>,
     kind: &'a str,
     name: String,
     table: &'a DeTable<'t>,
@@ -104,21 +103,21 @@
 
 impl<'a, 't> Entry<'a, 't> {
     fn new(
-        faults: &'a Faults<'a>,
+        source: &'a Source<'a>,
         kind: &'a str,
         element: &'a Element<'t>,
     ) -> Result<Self, DocumentError> {
         let table = element.get_ref().as_table().expect("checked to be a table");
         let span = element.span();
         let Some(name) = table.get("name") else {
-            return Err(faults.at(span, &format!("{kind}.name"), "is missing".to_owned()));
+            return Err(source.error_at(span, &format!("{kind}.name"), "is missing".to_owned()));
         };
         let Some(text) = name.get_ref().as_str() else {
             let key = format!("{kind}.name");
-            return Err(faults.at(name.span(), &key, "must be a string".to_owned()));
+            return Err(source.error_at(name.span(), &key, "must be a string".to_owned()));
         };
         Ok(Self {
-            faults,
+            source,
             kind,
             name: text.to_owned(),
             table,
@@ -131,8 +130,8 @@
         let mut spec = Map::new();
         for (key, element) in self.table {
             let field = key.get_ref().as_ref();
-            let value = value::json(element);
-            let value = value.map_err(|detail| self.fault(field, detail))?;
+            let value = value::to_json(element);
+            let value = value.map_err(|detail| self.error_at_field(field, detail))?;
             match field {
                 "name" => {}
                 "version" => base = Some(self.version(&value)?),
@@ -158,30 +157,32 @@
 
     fn version(&self, value: &Value) -> Result<u64, DocumentError> {
         let number = value.as_u64();
-        number.ok_or_else(|| self.fault("version", "must be a whole number from 0".to_owned()))
+        number.ok_or_else(|| {
+            self.error_at_field("version", "must be a whole number from 0".to_owned())
+        })
     }
 
-    /// The hash that stands for a key's secret, so that the secret stays here.
+    /// Hashes the secret of a key, so that the secret itself isn't sent.
     fn hash(&self, value: &Value) -> Result<String, DocumentError> {
         if self.table.get("hash").is_some() {
-            return Err(self.fault("hash", "give secret or hash, not both".to_owned()));
+            return Err(self.error_at_field("hash", "give secret or hash, not both".to_owned()));
         }
         let Some(secret) = value.as_str() else {
-            return Err(self.fault("secret", "must be a string".to_owned()));
+            return Err(self.error_at_field("secret", "must be a string".to_owned()));
         };
         if secret.is_empty() {
-            return Err(self.fault("secret", "must not be empty".to_owned()));
+            return Err(self.error_at_field("secret", "must not be empty".to_owned()));
         }
         Ok(hex::encode(Sha256::digest(secret)))
     }
 
     fn check(&self, spec: &Value) -> Result<(), DocumentError> {
         let checked = check::check(self.kind, &self.name, spec);
-        checked.map_err(|fault| self.fault(&fault.field, fault.detail))
+        checked.map_err(|error| self.error_at_field(&error.field, error.detail))
     }
 
-    /// An error at a field of this entry, or at its head if the field is absent.
-    fn fault(&self, field: &str, detail: String) -> DocumentError {
+    /// Returns an error at a field of this entry, or at its header if the field is absent.
+    fn error_at_field(&self, field: &str, detail: String) -> DocumentError {
         let first = field.split(['.', '[']).next().unwrap_or(field);
         let first = if first == "hash" && self.table.get("hash").is_none() {
             "secret"
@@ -199,6 +200,6 @@
         } else {
             format!("{}.{}.{field}", self.kind, self.name)
         };
-        self.faults.at(span, &key, detail)
+        self.source.error_at(span, &key, detail)
     }
 }
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, with its exit code and what to do next.
+//! Errors of client calls, with exit codes and suggestions.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,37 +7,37 @@
 
 use crate::api::{Certainty, Problem};
 
-/// What to do when events were missed.
+/// Suggestion after events were missed.
 const WATCH_AGAIN: &str =
     "list the resources with `swiftlink get KIND -o json`, then watch from the version it shows";
 
-/// What to do about a rejected change of a top-up.
-const IMMUTABLE: &str = "a top-up stays as it was first applied: for more tokens apply another \
-     [[topup]] with a new name, and take the changed one out of the file";
+/// Suggestion after a rejected change of a top-up.
+const IMMUTABLE: &str = "a top-up can't be changed once it is applied: to add tokens, apply \
+     another [[topup]] with a new name and remove the changed one from the file";
 
 /// Exit codes of the `swiftlink` command.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 #[repr(u8)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Ok = 0,
-    /// Refused or failed.
+    /// The request was refused or failed.
     Failed = 1,
-    /// Wrong arguments, settings or input file.
+    /// Invalid arguments, settings or input file.
     Usage = 2,
-    /// A change was made from an old version.
+    /// A change is based on an outdated version.
     Conflict = 3,
     /// No operator daemon could be reached.
     Unreachable = 4,
 }
 
-/// Why a call of the operator interface failed.
+/// Error of a call to the operator interface.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No operator of the list could be reached; nothing was done.
+    /// None of the operators could be reached; nothing was done.
     #[error("no operator can be reached")]
-    Unreachable(#[source] Tries),
-    /// The operator refused or failed the request.
+    Unreachable(#[source] FailedAttempts),
+    /// The operator responded with a problem.
     #[error("{} ({}): {}", .0.title, .0.status, .0.detail)]
     Refused(Box<Problem>),
     /// It is not known whether the change was applied.
@@ -45,7 +45,7 @@
     Unknown {
         /// The change set's id.
         id: String,
-        /// The last failure.
+        /// Last error.
         #[source]
         cause: Box<ClientError>,
     },
@@ -54,20 +54,20 @@
     Lost {
         /// Operator that was called.
         address: SocketAddr,
-        /// How it failed.
+        /// HTTP error.
         #[source]
         cause: HttpError,
     },
-    /// The answer is not what the interface promises.
-    #[error("unexpected answer from {address}: {detail}")]
+    /// The response doesn't conform to the interface.
+    #[error("unexpected response from {address}: {detail}")]
     Protocol {
         /// Operator that was called.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// Description of the violation.
         detail: String,
     },
-    /// Something else than an operator answers there; it did nothing.
-    #[error("{0} is no operator's address: it has no such path")]
+    /// The address belongs to another kind of server; nothing was done.
+    #[error("{0} is not the address of an operator: the path does not exist")]
     NotOperator(SocketAddr),
     /// The operator can't continue a watch.
     #[error("the watch ended: {0}")]
@@ -75,7 +75,7 @@
 }
 
 impl ClientError {
-    /// Exit code of a command that fails so.
+    /// Returns the exit code of a command that fails with this error.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// What the user can do about it.
+    /// Returns a suggestion to the user.
     #[must_use]
     pub fn next_step(&self) -> Option<String> {
         let step = match self {
@@ -96,7 +96,7 @@
             }
             Self::Unknown { id, .. } => format!(
                 "repeat the command with --change-id {id}: it is applied at most once, \
-                 and the answer says whether it was"
+                 and the response tells whether it was"
             ),
             Self::Refused(problem) => return refused_step(problem),
             Self::WatchEnded(_) => WATCH_AGAIN.to_owned(),
@@ -113,7 +113,7 @@
 fn refused_step(problem: &Problem) -> Option<String> {
     if problem.is_conflict() {
         return Some(
-            "someone changed it meanwhile, and it isn't as this change asks: look at it with \
+            "the resource was changed concurrently and differs from this change: inspect it with \
              `swiftlink get`, then apply the change to the current version"
                 .to_owned(),
         );
@@ -126,7 +126,7 @@
         return Some(IMMUTABLE.to_owned());
     }
     if problem.applied == Some(Certainty::No) {
-        return Some("nothing was applied: run the command again later".to_owned());
+        return Some("nothing was applied: retry the command later".to_owned());
     }
     match problem.status {
         401 => Some("check the token: --token-file or SWIFTLINK_TOKEN".to_owned()),
@@ -136,13 +136,13 @@
     }
 }
 
-/// The operators that were tried, and why each could not be reached.
+/// The operators that were tried, each with the error.
 #[derive(Clone, Debug, Default)]
-pub struct Tries(pub Vec<(SocketAddr, HttpError)>);
+pub struct FailedAttempts(pub Vec<(SocketAddr, HttpError)>);
 
-impl std::error::Error for Tries {}
+impl std::error::Error for FailedAttempts {}
 
-impl fmt::Display for Tries {
+impl fmt::Display for FailedAttempts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, (address, error)) in self.0.iter().enumerate() {
             if index > 0 {
--- a/crates/client/src/operator.rs
+++ b/crates/client/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator interface over HTTP, at the first operator that can be reached.
+//! HTTP client of the operator interface, with failover between operators.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,34 +16,34 @@
     Applied, ApplyRequest, Budget, CHANGE_FIRST_HEADER, CHANGE_ID_HEADER, Certainty, Problem,
     Resource, ResourceList, Status,
 };
-use crate::{ClientError, ClientSettings, Tries, WatchStream};
+use crate::{ClientError, ClientSettings, FailedAttempts, WatchStream};
 
-/// Time limit of a call; longer than the operator's own limit for an apply.
+/// Timeout of a call; longer than the operator's own timeout of an apply.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Rounds over all operators that an undecided apply is repeated for.
-const APPLY_ROUNDS: u32 = 2;
+/// Number of times that an undecided apply is tried at every operator.
+const MAX_APPLY_ROUNDS: u32 = 2;
 
-/// How the type of every problem of the operator interface begins.
-const PROBLEM_URN: &str = "urn:swiftlink:problem:";
+/// Prefix of the problem types of the operator interface.
+const PROBLEM_URN_PREFIX: &str = "urn:swiftlink:problem:";
 
 /// Client of the operator interface.
 #[derive(Debug)]
 pub struct Operator {
     http: Http,
     settings: ClientSettings,
-    /// Index of the operator that answered last; it is asked first.
+    /// Index of the operator that responded last, which is tried first.
     preferred: AtomicUsize,
 }
 
-/// What one call sends, whichever operator it goes to.
-struct Ask<'a> {
+/// A request, independent of the operator that it is sent to.
+struct ApiRequest<'a> {
     method: Method,
     path: &'a str,
     headers: Vec<(&'static str, &'a str)>,
     body: Bytes,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> ApiRequest<'a> {
     fn get(path: &'a str) -> Self {
         Self {
             method: Method::GET,
@@ -55,7 +55,7 @@
 }
 
 impl Operator {
-    /// A client of the operators in `settings`.
+    /// Creates a client of the operators in `settings`.
     #[must_use]
     pub fn open(settings: ClientSettings) -> Self {
         Self {
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Applies a change set under the id `id`, which a repeated call must keep.
+    /// Applies a change set with the idempotency key `id`, which repeated calls must reuse.
     ///
-    /// `repeat` says that the id may have been sent before. Returns once the log
-    /// has decided; an undecided call is repeated at the next operator.
+    /// `repeat` states that the id may have been sent before. Returns once the set is decided;
+    /// an undecided call is repeated at the next operator.
     ///
     /// # Errors
-    /// When the set was rejected, or no operator could have it decided.
+    /// Fails if the set was rejected or no operator could obtain a decision.
     pub async fn apply(
         &self,
         request: &ApplyRequest,
@@ -79,30 +79,30 @@
         repeat: bool,
     ) -> Result<Applied, ClientError> {
         let body = Bytes::from(serde_json::to_vec(request).expect("plain data serialises"));
-        let mut doubt = repeat;
+        let mut maybe_appended = repeat;
         let mut last = None;
-        for _round in 0..APPLY_ROUNDS {
-            for address in self.order() {
-                let error = match self.apply_at(address, id, &body, doubt).await {
+        for _round in 0..MAX_APPLY_ROUNDS {
+            for address in self.by_preference() {
+                let error = match self.apply_at(address, id, &body, maybe_appended).await {
                     Ok(applied) => {
                         self.prefer(address);
                         return Ok(applied);
                     }
                     Err(error) => error,
                 };
-                match verdict(&error) {
-                    Verdict::Final => return Err(error),
-                    Verdict::NotApplied => {}
-                    Verdict::Doubtful => doubt = true,
+                match classify(&error) {
+                    FailedApply::Final => return Err(error),
+                    FailedApply::NotApplied => {}
+                    FailedApply::Uncertain => maybe_appended = true,
                 }
                 last = Some(error);
             }
-            if !doubt {
+            if !maybe_appended {
                 break;
             }
         }
-        let error = last.unwrap_or_else(|| ClientError::Unreachable(Tries::default()));
-        if !doubt {
+        let error = last.unwrap_or_else(|| ClientError::Unreachable(FailedAttempts::default()));
+        if !maybe_appended {
             return Err(error);
         }
         Err(ClientError::Unknown {
@@ -111,32 +111,33 @@
         })
     }
 
-    /// All resources of a kind.
+    /// Lists all resources of a kind.
     ///
     /// # Errors
-    /// When no operator answers, or the kind is unknown.
+    /// Fails if no operator responds or the kind is unknown.
     pub async fn list(&self, kind: &str) -> Result<ResourceList, ClientError> {
-        self.json(&Ask::get(&format!("/v1/resources/{}", part(kind))))
+        self.call_json(&ApiRequest::get(&format!("/v1/resources/{}", encode(kind))))
             .await
     }
 
-    /// One resource.
+    /// Returns one resource.
     ///
     /// # Errors
-    /// When no operator answers, or there is no such resource.
+    /// Fails if no operator responds or the resource doesn't exist.
     pub async fn get(&self, kind: &str, name: &str) -> Result<Resource, ClientError> {
-        self.json(&Ask::get(&format!(
+        self.call_json(&ApiRequest::get(&format!(
             "/v1/resources/{}/{}",
-            part(kind),
-            part(name)
+            encode(kind),
+            encode(name)
         )))
         .await
     }
 
-    /// Events of a kind (or of all) after version `from`; from now on when `None`.
+    /// Watches the events of a kind (or all kinds) after version `from`, or after the current
+    /// version if `from` is `None`.
     ///
     /// # Errors
-    /// When no operator answers, or none remembers events from that version on.
+    /// Fails if no operator responds or the events after that version are no longer retained.
     pub async fn watch(
         &self,
         kind: Option<&str>,
@@ -147,17 +148,17 @@
             path.push_str(&format!("from={from}&"));
         }
         if let Some(kind) = kind {
-            path.push_str(&format!("kind={}", part(kind)));
+            path.push_str(&format!("kind={}", encode(kind)));
         }
-        let ask = Ask::get(&path);
-        let mut tries = Vec::new();
-        for address in self.order() {
-            let call = self.call(address, &ask);
+        let request = ApiRequest::get(&path);
+        let mut attempts = Vec::new();
+        for address in self.by_preference() {
+            let call = self.to_call(address, &request);
             let sent = tokio::time::timeout(CALL_TIMEOUT, self.http.send(&call)).await;
             let response = match sent.unwrap_or(Err(HttpError::Timeout(CALL_TIMEOUT))) {
                 Ok(response) => response,
                 Err(error) => {
-                    tries.push((address, error));
+                    attempts.push((address, error));
                     continue;
                 }
             };
@@ -167,58 +168,62 @@
             }
             let body = response.into_body().collect().await;
             let body = body.map(|whole| whole.to_bytes()).unwrap_or_default();
-            return Err(refusal(address, &Answer { status, body }));
+            return Err(to_error(address, &Answer { status, body }));
         }
-        Err(ClientError::Unreachable(Tries(tries)))
+        Err(ClientError::Unreachable(FailedAttempts(attempts)))
     }
 
-    /// State of every process that the operator knows of.
+    /// Returns the status of all processes in the operator's settings.
     ///
     /// # Errors
-    /// When no operator answers.
+    /// Fails if no operator responds.
     pub async fn status(&self) -> Result<Status, ClientError> {
-        self.json(&Ask::get("/v1/status")).await
+        self.call_json(&ApiRequest::get("/v1/status")).await
     }
 
-    /// What a ledger knows of a budget.
+    /// Returns a ledger's view of a budget.
     ///
     /// # Errors
-    /// When no operator answers, or none of its ledgers knows the budget.
+    /// Fails if no operator responds, none of its ledgers responds, or the budget doesn't exist.
     pub async fn budget(&self, name: &str) -> Result<Budget, ClientError> {
-        self.json(&Ask::get(&format!("/v1/budgets/{}", part(name))))
+        self.call_json(&ApiRequest::get(&format!("/v1/budgets/{}", encode(name))))
             .await
     }
 
-    /// State dump of a process.
+    /// Returns the state dump of a process.
     ///
     /// # Errors
-    /// When no operator answers, or the process is unknown or does not answer.
+    /// Fails if no operator responds, or the process is unknown or doesn't respond.
     pub async fn dump(&self, process: &str) -> Result<Value, ClientError> {
-        self.json(&Ask::get(&format!("/v1/processes/{}/dump", part(process))))
-            .await
+        self.call_json(&ApiRequest::get(&format!(
+            "/v1/processes/{}/dump",
+            encode(process)
+        )))
+        .await
     }
 
     /// Sets the log level of a process.
     ///
     /// # Errors
-    /// When no operator answers, or the process is unknown, does not answer or refuses the level.
-    pub async fn log_level(&self, process: &str, level: &str) -> Result<Value, ClientError> {
-        let path = format!("/v1/processes/{}/log-level", part(process));
-        let ask = Ask {
+    /// Fails if no operator responds, or the process is unknown, doesn't respond or refuses the
+    /// level.
+    pub async fn set_log_level(&self, process: &str, level: &str) -> Result<Value, ClientError> {
+        let path = format!("/v1/processes/{}/log-level", encode(process));
+        let request = ApiRequest {
             method: Method::PUT,
             body: Bytes::from(level.to_owned()),
-            ..Ask::get(&path)
+            ..ApiRequest::get(&path)
         };
-        self.json(&ask).await
+        self.call_json(&request).await
     }
 
-    /// The log level of a process.
+    /// Returns the log level of a process.
     ///
     /// # Errors
-    /// When no operator answers, or the process is unknown or does not answer.
-    pub async fn read_level(&self, process: &str) -> Result<Value, ClientError> {
-        let path = format!("/v1/processes/{}/log-level", part(process));
-        self.json(&Ask::get(&path)).await
+    /// Fails if no operator responds, or the process is unknown or doesn't respond.
+    pub async fn read_log_level(&self, process: &str) -> Result<Value, ClientError> {
+        let path = format!("/v1/processes/{}/log-level", encode(process));
+        self.call_json(&ApiRequest::get(&path)).await
     }
 
     async fn apply_at(
@@ -226,13 +231,13 @@
         address: SocketAddr,
         id: &str,
         body: &Bytes,
-        doubt: bool,
+        maybe_appended: bool,
     ) -> Result<Applied, ClientError> {
         let mut headers = vec![(CHANGE_ID_HEADER, id)];
-        if !doubt {
+        if !maybe_appended {
             headers.push((CHANGE_FIRST_HEADER, "true"));
         }
-        let ask = Ask {
+        let request = ApiRequest {
             method: Method::POST,
             path: "/v1/apply",
             headers,
@@ -240,95 +245,98 @@
         };
         let answer = self
             .http
-            .fetch(&self.call(address, &ask), CALL_TIMEOUT)
+            .fetch(&self.to_call(address, &request), CALL_TIMEOUT)
             .await;
         match answer {
             Ok(answer) => parse(address, &answer),
-            Err(cause @ HttpError::Unreachable(_)) => {
-                Err(ClientError::Unreachable(Tries(vec![(address, cause)])))
-            }
+            Err(cause @ HttpError::Unreachable(_)) => Err(ClientError::Unreachable(
+                FailedAttempts(vec![(address, cause)]),
+            )),
             Err(cause) => Err(ClientError::Lost { address, cause }),
         }
     }
 
-    /// Asks the operators in turn until one answers; for calls that change nothing twice.
-    async fn json<T: DeserializeOwned>(&self, ask: &Ask<'_>) -> Result<T, ClientError> {
-        let mut tries = Vec::new();
-        for address in self.order() {
+    /// Sends a request to the operators in turn until one responds; for idempotent requests.
+    async fn call_json<T: DeserializeOwned>(
+        &self,
+        request: &ApiRequest<'_>,
+    ) -> Result<T, ClientError> {
+        let mut attempts = Vec::new();
+        for address in self.by_preference() {
             match self
                 .http
-                .fetch(&self.call(address, ask), CALL_TIMEOUT)
+                .fetch(&self.to_call(address, request), CALL_TIMEOUT)
                 .await
             {
                 Ok(answer) => {
                     self.prefer(address);
                     return parse(address, &answer);
                 }
-                Err(error) => tries.push((address, error)),
+                Err(error) => attempts.push((address, error)),
             }
         }
-        Err(ClientError::Unreachable(Tries(tries)))
+        Err(ClientError::Unreachable(FailedAttempts(attempts)))
     }
 
-    fn call<'a>(&'a self, address: SocketAddr, ask: &Ask<'a>) -> Call<'a> {
+    fn to_call<'a>(&'a self, address: SocketAddr, request: &ApiRequest<'a>) -> Call<'a> {
         Call {
-            method: ask.method.clone(),
+            method: request.method.clone(),
             address,
-            path: ask.path,
+            path: request.path,
             token: Some(&self.settings.token),
-            headers: ask.headers.clone(),
-            body: ask.body.clone(),
+            headers: request.headers.clone(),
+            body: request.body.clone(),
         }
     }
 
-    fn order(&self) -> Vec<SocketAddr> {
-        let mut order = self.settings.operators.clone();
+    fn by_preference(&self) -> Vec<SocketAddr> {
+        let mut operators = self.settings.operators.clone();
         let first = self.preferred.load(Ordering::Relaxed);
-        let count = order.len();
-        order.rotate_left(first.min(count));
-        order
+        let count = operators.len();
+        operators.rotate_left(first.min(count));
+        operators
     }
 
     fn prefer(&self, address: SocketAddr) {
-        let place = self
+        let index = self
             .settings
             .operators
             .iter()
             .position(|known| *known == address);
-        self.preferred.store(place.unwrap_or(0), Ordering::Relaxed);
+        self.preferred.store(index.unwrap_or(0), Ordering::Relaxed);
     }
 }
 
-/// A text as one part of a path or query.
-fn part(text: &str) -> PercentEncode<'_> {
+/// Percent-encodes a text as a path segment or query value.
+fn encode(text: &str) -> PercentEncode<'_> {
     utf8_percent_encode(text, NON_ALPHANUMERIC)
 }
 
-/// What a failed apply leaves open.
-enum Verdict {
-    /// Decided; asking again would give the same.
+/// What is known about the set after a failed apply.
+enum FailedApply {
+    /// The set is decided or invalid: a retry would fail in the same way.
     Final,
-    /// This call appended nothing; another operator may do better.
+    /// This call appended nothing: another operator may succeed.
     NotApplied,
     /// The set may have been appended.
-    Doubtful,
+    Uncertain,
 }
 
-fn verdict(error: &ClientError) -> Verdict {
+fn classify(error: &ClientError) -> FailedApply {
     match error {
-        ClientError::Unreachable(_) | ClientError::NotOperator(_) => Verdict::NotApplied,
+        ClientError::Unreachable(_) | ClientError::NotOperator(_) => FailedApply::NotApplied,
         ClientError::Refused(problem) => match problem.applied {
-            Some(Certainty::No) => Verdict::NotApplied,
-            Some(Certainty::Unknown) => Verdict::Doubtful,
-            None => Verdict::Final,
+            Some(Certainty::No) => FailedApply::NotApplied,
+            Some(Certainty::Unknown) => FailedApply::Uncertain,
+            None => FailedApply::Final,
         },
-        _ => Verdict::Doubtful,
+        _ => FailedApply::Uncertain,
     }
 }
 
 fn parse<T: DeserializeOwned>(address: SocketAddr, answer: &Answer) -> Result<T, ClientError> {
     if !answer.status.is_success() {
-        return Err(refusal(address, answer));
+        return Err(to_error(address, answer));
     }
     let parsed = serde_json::from_slice(&answer.body);
     parsed.map_err(|error| ClientError::Protocol {
@@ -337,12 +345,12 @@
     })
 }
 
-fn refusal(address: SocketAddr, answer: &Answer) -> ClientError {
+fn to_error(address: SocketAddr, answer: &Answer) -> ClientError {
     match serde_json::from_slice::<Problem>(&answer.body) {
-        Ok(problem) if problem.kind.starts_with(PROBLEM_URN) => {
+        Ok(problem) if problem.kind.starts_with(PROBLEM_URN_PREFIX) => {
             ClientError::Refused(Box::new(problem))
         }
-        // Some other server, the admin address of a process for one.
+        // Another kind of server, for example the admin endpoint of a process.
         _ if answer.status == StatusCode::NOT_FOUND => ClientError::NotOperator(address),
         _ => protocol(address, answer.status),
     }
--- a/crates/client/src/settings.rs
+++ b/crates/client/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the command line: which operators, and the credential.
+//! Settings of the command line: operator addresses and token.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,9 +6,9 @@
 
 use serde::Deserialize;
 
-/// Environment variable with the operators' addresses, separated by commas.
+/// Environment variable with a comma-separated list of operator addresses.
 pub const OPERATOR_VARIABLE: &str = "SWIFTLINK_OPERATOR";
-/// Environment variable with the operators' credential.
+/// Environment variable with the operators' token.
 pub const TOKEN_VARIABLE: &str = "SWIFTLINK_TOKEN";
 
 /// Settings file of the command line (TOML, `-c FILE`).
@@ -18,22 +18,22 @@
     /// Operator addresses, tried in order.
     #[serde(default)]
     operators: Vec<SocketAddr>,
-    /// File that holds the credential.
+    /// File that contains the token.
     token_file: Option<PathBuf>,
 }
 
-/// What the arguments and the environment say; arguments go first.
+/// Settings from arguments and environment variables; arguments take precedence.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// `--operator`, may be repeated or hold several addresses separated by commas.
+    /// `--operator`; may be repeated or hold a comma-separated list of addresses.
     pub operators: Vec<String>,
     /// `--token-file`.
     pub token_file: Option<PathBuf>,
-    /// `-c`.
+    /// `-c`: settings file.
     pub settings: Option<PathBuf>,
-    /// Value of the variable `SWIFTLINK_OPERATOR`.
+    /// Value of `SWIFTLINK_OPERATOR`.
     pub operator_variable: Option<String>,
-    /// Value of the variable `SWIFTLINK_TOKEN`.
+    /// Value of `SWIFTLINK_TOKEN`.
     pub token_variable: Option<String>,
 }
 
@@ -50,14 +50,14 @@
 /// Effective settings of the command line.
 #[derive(Clone)]
 pub struct ClientSettings {
-    /// Operator addresses, tried in order; at least one.
+    /// Operator addresses, tried in order; not empty.
     pub operators: Vec<SocketAddr>,
-    /// The operators' credential.
+    /// The operators' token.
     pub token: String,
 }
 
 impl fmt::Display for ClientSettings {
-    /// The settings as TOML, without the credential.
+    /// Formats the settings as TOML with the token masked.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let operators: Vec<_> = self.operators.iter().map(SocketAddr::to_string).collect();
         writeln!(f, "operators = {operators:?}")?;
@@ -73,37 +73,37 @@
     }
 }
 
-/// What is wrong with the settings of the command line.
+/// Error in the settings of the command line.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The settings file is wrong.
+    /// The settings file can't be read or is invalid.
     #[error(transparent)]
     File(#[from] swiftlink_settings::SettingsError),
-    /// Not an address.
+    /// An operator address is malformed.
     #[error("--operator: {0:?} is not an address (IP:PORT)")]
     Address(String),
-    /// No address at all.
+    /// No operator address is given.
     #[error("no operator address: give --operator, {OPERATOR_VARIABLE} or a settings file (-c)")]
     NoOperator,
-    /// No credential at all.
+    /// No token is given.
     #[error("no token: give --token-file, {TOKEN_VARIABLE} or a settings file (-c)")]
     NoToken,
     /// The token file can't be read.
     #[error("can't read the token file {path}")]
     TokenFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// I/O error.
         #[source]
         cause: std::io::Error,
     },
 }
 
 impl ClientSettings {
-    /// Puts arguments, environment and settings file together, in this order of precedence.
+    /// Merges arguments, environment variables and settings file, in this order of precedence.
     ///
     /// # Errors
-    /// When one of them is wrong, or address or token is given nowhere.
+    /// Fails if one of them is invalid, or if no address or no token is given.
     pub fn resolve(overrides: &Overrides) -> Result<Self, SettingsError> {
         let file = match &overrides.settings {
             Some(path) => swiftlink_settings::load::<File>(path)?,
--- a/crates/client/src/table/mod.rs
+++ b/crates/client/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Human-readable tables.
 
 mod status;
 
@@ -9,15 +9,15 @@
 
 pub use status::status;
 
-/// Longest cell of a specification before it is cut (characters).
+/// Width at which the cell of a specification is truncated (characters).
 const SPEC_WIDTH: usize = 100;
-/// A field without a value.
-const NONE: &str = "-";
+/// Placeholder of a missing value.
+const EMPTY_CELL: &str = "-";
 
-/// What became of each change of an accepted set.
+/// Formats the results of an accepted change set.
 #[must_use]
 pub fn applied(answer: &Applied) -> String {
-    let mut table = plain(&["KIND", "NAME", "VERSION", "NOTE"]);
+    let mut table = new_table(&["KIND", "NAME", "VERSION", "NOTE"]);
     for result in &answer.results {
         let note = match result.effective {
             Some(true) => "in the budget",
@@ -27,47 +27,47 @@
         let version = result.version.to_string();
         table.add_row([&result.kind, &result.name, &version, note]);
     }
-    text(&table)
+    render(&table)
 }
 
-/// Resources, one a line.
+/// Formats a list of resources, one per line.
 #[must_use]
 pub fn resources(items: &[Resource]) -> String {
-    let mut table = plain(&["KIND", "NAME", "VERSION", "SPEC"]);
+    let mut table = new_table(&["KIND", "NAME", "VERSION", "SPEC"]);
     for item in items {
         let version = item.version.to_string();
-        table.add_row([&item.kind, &item.name, &version, &spec(&item.spec)]);
+        table.add_row([&item.kind, &item.name, &version, &spec_cell(&item.spec)]);
     }
-    text(&table)
+    render(&table)
 }
 
-/// One resource, a line per field.
+/// Formats one resource, one line per field.
 #[must_use]
 pub fn resource(item: &Resource) -> String {
-    let mut table = plain(&[&item.kind, &item.name]);
+    let mut table = new_table(&[&item.kind, &item.name]);
     table.add_row(["version", &item.version.to_string()]);
     let Some(fields) = item.spec.as_object() else {
-        table.add_row(["spec", &field(&item.spec)]);
-        return text(&table);
+        table.add_row(["spec", &field_text(&item.spec)]);
+        return render(&table);
     };
     for (name, value) in fields {
-        table.add_row([name.as_str(), &field(value)]);
+        table.add_row([name.as_str(), &field_text(value)]);
     }
-    text(&table)
+    render(&table)
 }
 
-/// The value of a field, for people.
-fn field(value: &Value) -> String {
+/// Formats the value of a field.
+fn field_text(value: &Value) -> String {
     match value {
-        Value::Null => NONE.to_owned(),
+        Value::Null => EMPTY_CELL.to_owned(),
         Value::String(text) => text.clone(),
-        Value::Array(items) if items.is_empty() => NONE.to_owned(),
-        Value::Array(items) => items.iter().map(field).collect::<Vec<_>>().join(", "),
+        Value::Array(items) if items.is_empty() => EMPTY_CELL.to_owned(),
+        Value::Array(items) => items.iter().map(field_text).collect::<Vec<_>>().join(", "),
         other => other.to_string(),
     }
 }
 
-/// A text on a line of its own; other values as JSON.
+/// Formats a string as one line and other values as JSON.
 #[must_use]
 pub fn line(value: &Value) -> String {
     match value {
@@ -76,7 +76,7 @@
     }
 }
 
-/// One event of a watch, on one line.
+/// Formats one event of a watch as one line.
 #[must_use]
 pub fn event(event: &WatchEvent) -> String {
     let what = if event.deleted { "deleted" } else { "changed" };
@@ -86,15 +86,15 @@
     );
     if !event.deleted {
         line.push_str("  ");
-        line.push_str(&spec(&event.spec));
+        line.push_str(&spec_cell(&event.spec));
     }
     line
 }
 
-/// One budget, a line per amount.
+/// Formats one budget, one line per amount.
 #[must_use]
 pub fn budget(answer: &Budget) -> String {
-    let mut table = plain(&["BUDGET", &answer.name]);
+    let mut table = new_table(&["BUDGET", &answer.name]);
     let amounts = [
         ("topped up", answer.topped_up),
         ("granted", answer.granted),
@@ -106,21 +106,21 @@
         table.add_row([label.to_owned(), amount.to_string()]);
     }
     table.add_row(["top-ups".to_owned(), answer.top_ups.join(", ")]);
-    let known = format!(
+    let source = format!(
         "{}, offset {}, {} ms old",
         answer.ledger, answer.offset, answer.age_ms
     );
-    table.add_row(["as known by".to_owned(), known]);
-    text(&table)
+    table.add_row(["source".to_owned(), source]);
+    render(&table)
 }
 
-/// Indented JSON.
+/// Formats a value as indented JSON.
 #[must_use]
 pub fn json(value: &Value) -> String {
     format!("{value:#}\n")
 }
 
-fn plain(header: &[&str]) -> Table {
+fn new_table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_style(comfy_table::presets::NOTHING);
     table.force_no_tty();
@@ -128,7 +128,7 @@
     table
 }
 
-fn text(table: &Table) -> String {
+fn render(table: &Table) -> String {
     let mut out = String::new();
     for line in table.lines() {
         out.push_str(line.trim_end());
@@ -137,11 +137,11 @@
     out
 }
 
-fn spec(value: &Value) -> String {
+fn spec_cell(value: &Value) -> String {
     let text = value.to_string();
-    let mut cut: String = text.chars().take(SPEC_WIDTH).collect();
-    if cut.len() < text.len() {
-        cut.push_str("...");
+    let mut truncated: String = text.chars().take(SPEC_WIDTH).collect();
+    if truncated.len() < text.len() {
+        truncated.push_str("...");
     }
-    cut
+    truncated
 }
--- a/crates/client/src/table/status.rs
+++ b/crates/client/src/table/status.rs
@@ -1,30 +1,33 @@
-//! The table of the fleet's processes.
+//! Table of the processes of the fleet.
 
 use serde_json::Value;
 
-use super::{plain, text};
+use super::{new_table, render};
 use crate::api::{ProcessStatus, Status};
 
-/// Name of the configuration stream in a process's status.
+/// Name of the configuration stream in the status of a process.
 const CONFIG_STREAM: &str = "config";
-/// A cell without a value.
-const NONE: &str = "-";
-/// What a trouble of a router means to its callers.
-const TROUBLES: [(&str, &str); 6] = [
-    ("stopping", "stopping, takes no new work"),
+/// Placeholder of a missing value.
+const EMPTY_CELL: &str = "-";
+/// Explanations of the troubles that a router reports in its status.
+const TROUBLE_NOTES: [(&str, &str); 6] = [
+    ("stopping", "stopping, accepts no new requests"),
     (
         "declared-gone",
-        "its VM is declared gone, takes no new work",
+        "its VM is retired, accepts no new requests",
     ),
-    ("no-configuration", "no configuration, refuses all"),
-    ("stale", "stale, refuses workspaces with stale=refuse"),
-    ("stuck", "charges are stuck, takes no new work"),
+    ("no-configuration", "no configuration, refuses all requests"),
+    (
+        "stale",
+        "stale configuration, refuses workspaces with stale=refuse",
+    ),
+    ("stuck", "charges are stuck, accepts no new requests"),
     ("not-joined", "has not joined all budget streams"),
 ];
-/// What an operator should know of a configuration that nobody can change.
-const LOG_OUT: &str = "the log is out for all ledgers";
+/// Note on a configuration that can't be changed because of a log outage.
+const LOG_OUTAGE_NOTE: &str = "the log is unavailable to all ledgers";
 
-/// The processes of the fleet.
+/// Formats the status of the processes of the fleet.
 #[must_use]
 pub fn status(answer: &Status) -> String {
     let columns = [
@@ -39,19 +42,19 @@
         "QUEUE",
         "NOTE",
     ];
-    let mut table = plain(&columns);
+    let mut table = new_table(&columns);
     for process in &answer.processes {
         table.add_row(row(process));
     }
     let age = match answer.age_ms {
         Some(age) => format!("{age} ms old"),
-        None => "never read to its end".to_owned(),
+        None => "never read completely".to_owned(),
     };
     format!(
         "newest version {}, at this operator {} ({age})\n{}",
         answer.newest,
         answer.version,
-        text(&table)
+        render(&table)
     )
 }
 
@@ -68,15 +71,15 @@
         process.admin.clone(),
         version.unwrap_or_else(|| "?".to_owned()),
         current.to_owned(),
-        log_offset(&process.status).unwrap_or_else(|| NONE.to_owned()),
-        log_age(&process.status).unwrap_or_else(|| NONE.to_owned()),
-        grants(&process.status).unwrap_or_else(|| NONE.to_owned()),
-        queue(&process.status).unwrap_or_else(|| NONE.to_owned()),
+        log_offset(&process.status).unwrap_or_else(|| EMPTY_CELL.to_owned()),
+        log_age(&process.status).unwrap_or_else(|| EMPTY_CELL.to_owned()),
+        grants(&process.status).unwrap_or_else(|| EMPTY_CELL.to_owned()),
+        queue(&process.status).unwrap_or_else(|| EMPTY_CELL.to_owned()),
         note(process),
     ]
 }
 
-/// Offset of the configuration stream that the process reads next.
+/// Next offset of the configuration stream that the process reads.
 fn log_offset(status: &Value) -> Option<String> {
     if let Some(offset) = number(status, "log_offset") {
         return Some(offset.to_string());
@@ -89,13 +92,13 @@
     None
 }
 
-/// Age of what the process knows of the log, itself or through a ledger.
+/// Age of the process's state of the log, read directly or through a ledger.
 fn log_age(status: &Value) -> Option<String> {
     let age = number(status, "log_age_ms").or_else(|| number(status, "version_age_ms"));
     Some(format!("{} ms", age?))
 }
 
-/// Rights that a router holds and has not spent.
+/// Unspent quota that a router holds.
 fn grants(status: &Value) -> Option<String> {
     let grants = status.get("grants")?.as_array()?;
     let mut held = 0_u64;
@@ -106,7 +109,7 @@
     Some(format!("{held} in {}", grants.len()))
 }
 
-/// Requests that wait in a router.
+/// Number of requests queued in a router.
 fn queue(status: &Value) -> Option<String> {
     let mut waiting = 0;
     for pool in status.get("queue")?.as_array()? {
@@ -121,21 +124,21 @@
 
 fn note(process: &ProcessStatus) -> String {
     if process.reachable {
-        return state(&process.status);
+        return status_notes(&process.status);
     }
-    let error = process.error.as_deref().unwrap_or("no answer");
+    let error = process.error.as_deref().unwrap_or("no response");
     format!("unreachable: {error}")
 }
 
-/// What a process says against itself.
-fn state(status: &Value) -> String {
+/// Problems that a process reports in its status.
+fn status_notes(status: &Value) -> String {
     let mut notes = Vec::new();
     if status.get("configuration").and_then(Value::as_str) == Some("log-out") {
-        notes.push(LOG_OUT.to_owned());
+        notes.push(LOG_OUTAGE_NOTE.to_owned());
     }
     let troubles = status.get("troubles").and_then(Value::as_array);
     for trouble in troubles.into_iter().flatten().filter_map(Value::as_str) {
-        let known = TROUBLES.iter().find(|(slug, _)| *slug == trouble);
+        let known = TROUBLE_NOTES.iter().find(|(slug, _)| *slug == trouble);
         notes.push(known.map_or(trouble, |(_, meaning)| meaning).to_owned());
     }
     notes.join("; ")
--- a/crates/client/src/watch.rs
+++ b/crates/client/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watch in progress: lines of JSON, split and parsed.
+//! Watches: parse the JSON lines of the stream and resume it after a lost connection.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,31 +11,33 @@
 use crate::api::{WatchEvent, WatchLine};
 use crate::{ClientError, Operator};
 
-/// Silence after which a watch is taken for dead; the operator sends heartbeats more often.
-const SILENCE_LIMIT: Duration = Duration::from_secs(30);
+/// Idle time after which the connection of a watch is considered lost; the operator sends
+/// heartbeats more often.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Delay before a lost watch is begun again.
+/// Delay before an attempt to resume a lost watch.
 const RESUME_DELAY: Duration = Duration::from_millis(500);
-/// Tries to begin a lost watch again, one after another.
-const RESUME_TRIES: u32 = 20;
+/// Maximum number of consecutive attempts to resume a lost watch.
+const MAX_RESUME_ATTEMPTS: u32 = 20;
 
-/// A watch that goes on at another operator when its connection is lost.
+/// A watch that resumes at another operator when its connection is lost.
 ///
-/// Gives every event once and in order.
+/// It delivers every event exactly once and in order.
 #[derive(Debug)]
 pub struct Watcher<'a> {
     operator: &'a Operator,
     kind: Option<&'a str>,
     stream: WatchStream,
-    /// Events given of the change set that the stream's position stands in.
-    given: Vec<WatchEvent>,
+    /// Delivered events of the change set at the position of the stream, which a resumed watch
+    /// may send again.
+    delivered: Vec<WatchEvent>,
 }
 
 impl<'a> Watcher<'a> {
-    /// Begins a watch after version `from`, or now.
+    /// Starts a watch after version `from`, or after the current version.
     ///
     /// # Errors
-    /// Those of [`Operator::watch`].
+    /// See [`Operator::watch`].
     pub async fn open(
         operator: &'a Operator,
         kind: Option<&'a str>,
@@ -45,14 +47,14 @@
             operator,
             kind,
             stream: operator.watch(kind, from).await?,
-            given: Vec::new(),
+            delivered: Vec::new(),
         })
     }
 
-    /// The next event.
+    /// Returns the next event.
     ///
     /// # Errors
-    /// When the watch can't go on at any operator.
+    /// Fails if no operator can continue the watch.
     pub async fn next(&mut self) -> Result<WatchEvent, ClientError> {
         loop {
             match self.stream.next().await {
@@ -67,36 +69,37 @@
         }
     }
 
-    /// Whether the event was not given before the last resumption.
+    /// Returns whether the event was not delivered before the watch was resumed.
     fn is_new(&mut self, event: &WatchEvent) -> bool {
-        self.given.retain(|given| given.version >= event.version);
-        if self.given.contains(event) {
+        self.delivered
+            .retain(|delivered| delivered.version >= event.version);
+        if self.delivered.contains(event) {
             return false;
         }
-        self.given.push(event.clone());
+        self.delivered.push(event.clone());
         true
     }
 
     async fn resume(&mut self) -> Result<(), ClientError> {
         let from = self.stream.version();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             tokio::time::sleep(RESUME_DELAY).await;
-            tries += 1;
+            attempts += 1;
             match self.operator.watch(self.kind, from).await {
                 Ok(stream) => {
                     self.stream = stream;
                     return Ok(());
                 }
-                Err(error) if tries < RESUME_TRIES && is_passing(&error) => {}
+                Err(error) if attempts < MAX_RESUME_ATTEMPTS && is_transient(&error) => {}
                 Err(error) => return Err(error),
             }
         }
     }
 }
 
-/// Whether a later try may do better.
-fn is_passing(error: &ClientError) -> bool {
+/// Whether a later attempt may succeed.
+fn is_transient(error: &ClientError) -> bool {
     match error {
         ClientError::Unreachable(_) | ClientError::Lost { .. } => true,
         ClientError::Refused(problem) => problem.status == 503,
@@ -104,12 +107,12 @@
     }
 }
 
-/// Events of one connection's watch, in order.
+/// The events of a watch on one connection, in order.
 #[derive(Debug)]
 pub struct WatchStream {
     address: SocketAddr,
     body: Incoming,
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
     lines: VecDeque<WatchLine>,
     version: Option<u64>,
 }
@@ -119,26 +122,27 @@
         Self {
             address,
             body,
-            rest: Vec::new(),
+            buffer: Vec::new(),
             lines: VecDeque::new(),
             version,
         }
     }
 
-    /// Version up to which events were received; continue from here after a lost connection.
-    /// `None` while a watch from now on has not heard which version that is.
+    /// Returns the version up to which all events were received, from which to resume after a
+    /// lost connection. `None` if the watch started at the current version and has not received
+    /// it yet.
     ///
-    /// Events of one change set share a version; it counts as received with the
-    /// first event or heartbeat of a later version, so that none is left out.
+    /// The events of one change set share a version. It counts as received with the first event
+    /// of a later version or its heartbeat, so that no event is skipped.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The next event; `None` when the operator closed the watch in good order.
+    /// Returns the next event; `None` if the operator closed the watch regularly.
     ///
     /// # Errors
-    /// When the connection is lost or silent, or the operator can't continue.
+    /// Fails if the connection is lost or idle for too long, or the operator can't continue.
     pub async fn next(&mut self) -> Result<Option<WatchEvent>, ClientError> {
         loop {
             while let Some(line) = self.lines.pop_front() {
@@ -159,10 +163,10 @@
         }
     }
 
-    /// Reads more of the body; `false` at its end.
+    /// Reads the next frame of the body; returns `false` at the end.
     async fn fill(&mut self) -> Result<bool, ClientError> {
-        let frame = tokio::time::timeout(SILENCE_LIMIT, self.body.frame()).await;
-        let frame = frame.map_err(|_elapsed| self.lost(HttpError::Timeout(SILENCE_LIMIT)))?;
+        let frame = tokio::time::timeout(IDLE_TIMEOUT, self.body.frame()).await;
+        let frame = frame.map_err(|_elapsed| self.lost(HttpError::Timeout(IDLE_TIMEOUT)))?;
         let Some(frame) = frame else {
             return Ok(false);
         };
@@ -170,9 +174,9 @@
         let Ok(data) = frame.into_data() else {
             return Ok(true);
         };
-        self.rest.extend_from_slice(&data);
-        while let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.rest.drain(..=end).collect();
+        self.buffer.extend_from_slice(&data);
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
             let parsed = serde_json::from_slice(&line);
             let parsed = parsed.map_err(|error| ClientError::Protocol {
                 address: self.address,
--- a/crates/client/tests/testsuite/document.rs
+++ b/crates/client/tests/testsuite/document.rs
@@ -1,4 +1,4 @@
-//! Documents of resources: what is sent for them, and how faults are named.
+//! Documents of resources: the resulting requests and the error messages.
 
 use std::path::Path;
 
@@ -102,7 +102,7 @@
     assert_eq!(fate.events.len(), set.changes.len());
 }
 
-/// The sample's retirement is a comment: without its marks it is a resource.
+/// The retirement in the sample is commented out; uncommented, it is a valid resource.
 #[test]
 fn the_sample_of_a_retirement_is_valid() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/fleet.toml");
--- a/crates/client/tests/testsuite/settings.rs
+++ b/crates/client/tests/testsuite/settings.rs
@@ -1,4 +1,4 @@
-//! Where the command line takes its settings from.
+//! Sources of the command line's settings and their precedence.
 
 use std::fs;
 use std::path::Path;
--- a/crates/client/tests/testsuite/table.rs
+++ b/crates/client/tests/testsuite/table.rs
@@ -1,10 +1,10 @@
-//! Tables for people.
+//! Human-readable tables.
 
 use serde_json::json;
+use swiftlink_client::already_applied::specs_equal;
 use swiftlink_client::api::{
     Applied, AppliedChange, Budget, ProcessStatus, Resource, Status, WatchEvent,
 };
-use swiftlink_client::in_force::same_spec;
 use swiftlink_client::table;
 
 #[test]
@@ -47,7 +47,7 @@
     insta::assert_snapshot!(table::resources(&items));
     insta::assert_snapshot!("listed_nothing", table::resources(&[]));
     let whole = table::resource(&items[1]);
-    assert!(whole.contains("class-19"), "nothing is cut: {whole}");
+    assert!(whole.contains("class-19"), "must not be truncated: {whole}");
     insta::assert_snapshot!("one_resource", table::resource(&items[0]));
 }
 
@@ -61,9 +61,9 @@
     let short = json!({ "budget": "registry" });
     let long = json!({ "budget": "registry", "classes": [], "stale": "refuse" });
     let other = json!({ "budget": "registry", "stale": "serve" });
-    assert!(same_spec("workspace", &short, &long));
-    assert!(!same_spec("workspace", &short, &other));
-    assert!(!same_spec("nonsense", &short, &short));
+    assert!(specs_equal("workspace", &short, &long));
+    assert!(!specs_equal("workspace", &short, &other));
+    assert!(!specs_equal("nonsense", &short, &short));
 }
 
 #[test]
--- a/crates/operator/src/applier.rs
+++ b/crates/operator/src/applier.rs
@@ -1,4 +1,4 @@
-//! Brings a change set onto the log and reads its fate back.
+//! Appends change sets to the log and reads back their fates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,126 +14,126 @@
 use swiftlink_wire::log::{Change, ChangeSet};
 use tokio::time::{Instant, timeout_at};
 
-use crate::board::Board;
 use crate::follower::CONFIG_STREAM;
-use crate::ledgers::{Known, Ledgers};
+use crate::ledgers::{BudgetLookup, Ledgers};
+use crate::shared_state::SharedState;
 
-/// First and largest ceiling of the delay between two appends of a set.
+/// Initial and maximum backoff between two appends of a set.
 const BACKOFF_BASE: Duration = Duration::from_millis(50);
 const BACKOFF_CAP: Duration = Duration::from_secs(1);
-/// Time between two questions for a top-up.
+/// Interval at which ledgers are polled for a top-up.
 const TOPUP_POLL: Duration = Duration::from_millis(50);
-/// When to come back after an outage of the log.
+/// Retry delay given to callers during a log outage.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A change set as the caller sent it.
+/// A change set as received from the caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Order {
+pub(crate) struct Submission {
     /// Identifier of the set.
     pub(crate) id: String,
-    /// Whether the identifier certainly was not used before.
-    pub(crate) first: bool,
-    /// The changes.
+    /// Whether the caller states that the identifier is used for the first time.
+    pub(crate) is_first_use: bool,
+    /// Changes and their author.
     pub(crate) request: ApplyRequest,
 }
 
-/// What became of an order.
+/// Outcome of a submission.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// The log decided for it.
+    /// The set was accepted.
     Accepted(Applied),
-    /// The log decided against it.
+    /// The set was rejected.
     Rejected(Vec<Reject>),
-    /// It certainly is not on the log.
+    /// The set certainly isn't on the log.
     NotApplied {
-        /// Why.
+        /// Cause, for the caller.
         detail: String,
-        /// When to come back.
+        /// Time after which to retry.
         retry: Duration,
     },
-    /// It may be on the log, now or later.
+    /// The set may be on the log, or may still reach it.
     Unknown {
-        /// Why.
+        /// Cause, for the caller.
         detail: String,
-        /// When to come back.
+        /// Time after which to retry.
         retry: Duration,
     },
 }
 
 impl Outcome {
-    /// Of an order that the daemon's stop cut off.
-    pub(crate) fn stopped() -> Self {
+    /// Outcome of a submission interrupted by the shutdown of the daemon.
+    pub(crate) fn interrupted() -> Self {
         undecided(true, "the operator is stopping")
     }
 }
 
-/// Applies orders.
+/// Applies submissions: appends them to the log and waits for the decision.
 pub(crate) struct Applier {
     pub(crate) log: Arc<dyn Log>,
-    pub(crate) board: Arc<Board>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) ledgers: Arc<Ledgers>,
     pub(crate) metrics: Metrics,
-    /// Time limit for a decision.
-    pub(crate) limit: Duration,
-    /// Time limit for top-ups to come into effect.
-    pub(crate) topup: Duration,
+    /// Timeout of a decision.
+    pub(crate) decision_timeout: Duration,
+    /// Time to wait until ledgers credit top-ups.
+    pub(crate) topup_timeout: Duration,
 }
 
 impl Applier {
-    /// Returns once the log's decision was read back, or the time limit is over.
-    pub(crate) async fn apply(&self, order: &Order) -> Outcome {
-        let deadline = Instant::now() + self.limit;
-        let fate = match self.board.fate(&order.id) {
+    /// Returns once the decision was read back from the log, or after the timeout.
+    pub(crate) async fn apply(&self, submission: &Submission) -> Outcome {
+        let deadline = Instant::now() + self.decision_timeout;
+        let fate = match self.state.fate(&submission.id) {
             Some(fate) => Ok(fate),
-            None => self.decide(order, deadline).await,
+            None => self.decide(submission, deadline).await,
         };
         let outcome = match fate {
-            Ok(fate) => self.conclude(order, fate).await,
+            Ok(fate) => self.to_outcome(submission, fate).await,
             Err(outcome) => outcome,
         };
-        let word = word(&outcome);
+        let label = outcome_label(&outcome);
         self.metrics
-            .count_with("operator.applies", 1, &[("outcome", word)]);
+            .count_with("operator.applies", 1, &[("outcome", label)]);
         event!(
             info,
             "apply",
-            change = order.id,
-            changes = order.request.changes.len(),
-            outcome = word
+            change = submission.id,
+            changes = submission.request.changes.len(),
+            outcome = label
         );
         outcome
     }
 
-    async fn decide(&self, order: &Order, deadline: Instant) -> Result<SetFate, Outcome> {
-        let Some(config) = self.board.config() else {
+    async fn decide(&self, submission: &Submission, deadline: Instant) -> Result<SetFate, Outcome> {
+        let Some(config) = self.state.config() else {
             return Err(undecided(
-                !order.first,
+                !submission.is_first_use,
                 "the configuration was not read yet",
             ));
         };
-        let set = change_set(order, &config);
+        let set = change_set(submission, &config);
         if set.changes.is_empty() {
-            return Ok(settled(&order.id, config.version));
+            return Ok(accepted_unchanged(&submission.id, config.version));
         }
         let set = Bytes::from(set.encode_to_vec());
         let stream = StreamName::from(CONFIG_STREAM);
         let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP);
-        let mut doubt = !order.first;
+        let mut maybe_appended = !submission.is_first_use;
         loop {
             let appended = timeout_at(deadline, self.log.append(&stream, set.clone())).await;
             let detail = match appended {
-                Ok(Ok(_offset)) => return self.read_back(order, deadline).await,
+                Ok(Ok(_offset)) => return self.read_back(submission, deadline).await,
                 Ok(Err(error)) => {
-                    doubt |= matches!(error, LogError::Unknown(_));
+                    maybe_appended |= matches!(error, LogError::Unknown(_));
                     error.to_string()
                 }
                 Err(_elapsed) => return Err(undecided(true, "the log did not answer in time")),
             };
-            if !doubt {
+            if !maybe_appended {
                 return Err(undecided(false, &detail));
             }
-            // Read back before the set is appended again; a second copy folds to nothing.
-            if let Some(fate) = self.look(order, &mut backoff, deadline).await {
+            // Read the log before appending the set again; the fold ignores a duplicate.
+            if let Some(fate) = self.search(submission, &mut backoff, deadline).await {
                 return Ok(fate);
             }
             if Instant::now() >= deadline {
@@ -142,45 +142,51 @@
         }
     }
 
-    /// Waits for the fate of a set that certainly is on the log.
-    async fn read_back(&self, order: &Order, deadline: Instant) -> Result<SetFate, Outcome> {
-        let fate = timeout_at(deadline, self.board.decided(&order.id)).await;
+    /// Waits for the fate of a set that is known to be on the log.
+    async fn read_back(
+        &self,
+        submission: &Submission,
+        deadline: Instant,
+    ) -> Result<SetFate, Outcome> {
+        let fate = timeout_at(deadline, self.state.wait_for_fate(&submission.id)).await;
         fate.map_err(|_elapsed| undecided(true, "it is on the log, but its fate can't be read yet"))
     }
 
-    /// Looks for a set that may be on the log, for one delay at least.
+    /// Searches the log for a set that may be on it, for at least one backoff delay.
     ///
-    /// Ends with its fate, or once the log was read to its end without it, or at
-    /// the deadline.
-    async fn look(
+    /// Returns the fate of the set, or `None` once the log was read to its end without it or
+    /// the deadline has passed.
+    async fn search(
         &self,
-        order: &Order,
+        submission: &Submission,
         backoff: &mut Backoff,
         deadline: Instant,
     ) -> Option<SetFate> {
         let stream = StreamName::from(CONFIG_STREAM);
         loop {
-            let pause = Instant::now() + backoff.next(rand::rng().next_u64());
-            let until = pause.min(deadline);
-            if let Ok(fate) = timeout_at(until, self.board.decided(&order.id)).await {
+            let retry_at = Instant::now() + backoff.next(rand::rng().next_u64());
+            let until = retry_at.min(deadline);
+            if let Ok(fate) = timeout_at(until, self.state.wait_for_fate(&submission.id)).await {
                 return Some(fate);
             }
             if Instant::now() >= deadline {
                 return None;
             }
-            let from = self.board.next();
+            let from = self.state.next_offset();
             let read = self.log.read(&stream, from, 1, Duration::ZERO);
             match timeout_at(deadline, read).await {
-                Ok(Ok(page)) if page.records.is_empty() => return self.board.fate(&order.id),
+                Ok(Ok(page)) if page.records.is_empty() => return self.state.fate(&submission.id),
                 Ok(_) => {}
                 Err(_elapsed) => return None,
             }
         }
     }
 
-    async fn conclude(&self, order: &Order, fate: SetFate) -> Outcome {
+    async fn to_outcome(&self, submission: &Submission, fate: SetFate) -> Outcome {
         match fate.verdict {
-            Verdict::Accepted => Outcome::Accepted(self.accepted(order, fate.version).await),
+            Verdict::Accepted => {
+                Outcome::Accepted(self.accepted_response(submission, fate.version).await)
+            }
             Verdict::Rejected(rejects) => Outcome::Rejected(rejects),
             Verdict::Duplicate => Outcome::Unknown {
                 detail: "it was decided before this operator began to read: `get` shows the \
@@ -191,10 +197,10 @@
         }
     }
 
-    async fn accepted(&self, order: &Order, version: u64) -> Applied {
-        let deadline = Instant::now() + self.topup;
+    async fn accepted_response(&self, submission: &Submission, version: u64) -> Applied {
+        let deadline = Instant::now() + self.topup_timeout;
         let mut results = Vec::new();
-        for change in &order.request.changes {
+        for change in &submission.request.changes {
             let mut result = AppliedChange {
                 kind: change.kind.clone(),
                 name: change.name.clone(),
@@ -203,34 +209,34 @@
             };
             if change.kind == Kind::TopUp.as_str() && !change.delete {
                 result.version = self.topup_version(&change.name).unwrap_or(version);
-                result.effective = Some(self.effective(&change.name, deadline).await);
+                result.effective = Some(self.wait_until_credited(&change.name, deadline).await);
             }
             results.push(result);
         }
         Applied {
-            id: order.id.clone(),
+            id: submission.id.clone(),
             version,
             results,
         }
     }
 
-    /// Version of a top-up, which may stand in the configuration since an earlier set.
+    /// Returns the version of a top-up, which an earlier set may have declared.
     fn topup_version(&self, name: &str) -> Option<u64> {
-        let config = self.board.config()?;
+        let config = self.state.config()?;
         Some(config.get(Kind::TopUp, name)?.version)
     }
 
-    /// Whether a ledger shows the top-up in its budget before the deadline.
-    async fn effective(&self, name: &str, deadline: Instant) -> bool {
-        let config = self.board.config();
+    /// Waits until a ledger lists the top-up in its budget; `false` if none does by the deadline.
+    async fn wait_until_credited(&self, name: &str, deadline: Instant) -> bool {
+        let config = self.state.config();
         let topup = config.as_ref().and_then(|config| config.topups.get(name));
         let Some(topup) = topup else {
             return false;
         };
         loop {
-            let ask = self.ledgers.budget(topup.budget.as_str());
-            match timeout_at(deadline, ask).await {
-                Ok(Known::View(view)) if view.top_ups.iter().any(|known| known == name) => {
+            let query = self.ledgers.budget(topup.budget.as_str());
+            match timeout_at(deadline, query).await {
+                Ok(BudgetLookup::Found(view)) if view.top_ups.iter().any(|known| known == name) => {
                     return true;
                 }
                 Ok(_) => {}
@@ -244,12 +250,13 @@
     }
 }
 
-/// The record of an order; a change without base is made from the version in `config`.
-/// Top-ups that are in force just so are left out.
-fn change_set(order: &Order, config: &Config) -> ChangeSet {
+/// Builds the log record of a submission. A change without a base version is based on the
+/// version in `config`. Top-ups that were already applied with the same specification are left
+/// out.
+fn change_set(submission: &Submission, config: &Config) -> ChangeSet {
     let mut changes = Vec::new();
-    for change in &order.request.changes {
-        if is_settled(change, config) {
+    for change in &submission.request.changes {
+        if is_already_applied(change, config) {
             continue;
         }
         let spec = match &change.spec {
@@ -261,37 +268,37 @@
             name: change.name.clone(),
             base: change
                 .base
-                .unwrap_or_else(|| current(config, &change.kind, &change.name)),
+                .unwrap_or_else(|| current_version(config, &change.kind, &change.name)),
             delete: change.delete,
             spec,
         });
     }
     ChangeSet {
-        id: order.id.clone(),
-        author: order.request.author.clone(),
+        id: submission.id.clone(),
+        author: submission.request.author.clone(),
         stamp_ms: wall_ms(),
         changes,
         snapshot: None,
     }
 }
 
-/// Whether the change asks for a top-up that is in force just so.
+/// Whether the change declares a top-up that already exists with the same specification.
 ///
-/// A top-up never changes, so this holds whatever else the log decides meanwhile;
-/// a file can be applied again without a rejection of its old top-ups.
-fn is_settled(change: &ApplyChange, config: &Config) -> bool {
+/// Top-ups are immutable, so the answer can't be invalidated by concurrent changes. Leaving such
+/// top-ups out lets a file be applied again without a rejection of its old top-ups.
+fn is_already_applied(change: &ApplyChange, config: &Config) -> bool {
     if change.kind != Kind::TopUp.as_str() || change.delete || change.base.is_some() {
         return false;
     }
-    let asked = change.spec.clone().map(serde_json::from_value::<TopUp>);
-    match (asked, config.topups.get(change.name.as_str())) {
-        (Some(Ok(asked)), Some(known)) => asked == **known,
+    let declared = change.spec.clone().map(serde_json::from_value::<TopUp>);
+    match (declared, config.topups.get(change.name.as_str())) {
+        (Some(Ok(declared)), Some(known)) => declared == **known,
         _ => false,
     }
 }
 
-/// The fate of a set that asks for nothing new.
-fn settled(id: &str, version: u64) -> SetFate {
+/// Fate of a set without changes left to append.
+fn accepted_unchanged(id: &str, version: u64) -> SetFate {
     SetFate {
         id: Arc::from(id),
         version,
@@ -300,7 +307,7 @@
     }
 }
 
-fn current(config: &Config, kind: &str, name: &str) -> u64 {
+fn current_version(config: &Config, kind: &str, name: &str) -> u64 {
     let Ok(kind) = kind.parse::<Kind>() else {
         return 0;
     };
@@ -309,9 +316,9 @@
         .map_or(0, |resource| resource.version)
 }
 
-fn undecided(doubt: bool, detail: &str) -> Outcome {
+fn undecided(maybe_appended: bool, detail: &str) -> Outcome {
     let detail = detail.to_owned();
-    if doubt {
+    if maybe_appended {
         return Outcome::Unknown {
             detail,
             retry: RETRY_AFTER,
@@ -323,7 +330,7 @@
     }
 }
 
-fn word(outcome: &Outcome) -> &'static str {
+fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Accepted(_) => "accepted",
         Outcome::Rejected(_) => "rejected",
--- a/crates/operator/src/daemon.rs
+++ b/crates/operator/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The running daemon.
+//! Start and shutdown of the daemon.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -16,46 +16,46 @@
 use tokio_util::task::TaskTracker;
 
 use crate::applier::Applier;
-use crate::board::Board;
 use crate::fleet::Fleet;
 use crate::follower::Follower;
 use crate::ledgers::Ledgers;
 use crate::settings::OperatorSettings;
+use crate::shared_state::SharedState;
 use crate::web::Interface;
 
-/// Time limit of one call of the log.
+/// Timeout of one call to the log.
 const LOG_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time beyond an apply's own limits that a stop waits for requests in flight.
-const STOP_MARGIN: Duration = Duration::from_secs(1);
-/// Most connections of the resource interface.
-const CONNECTIONS: usize = 256;
+/// Time that a shutdown waits for requests in flight beyond the timeouts of an apply.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+/// Maximum number of connections to the resource interface.
+const MAX_CONNECTIONS: usize = 256;
 
-/// What an operator daemon is made of, so that tests can put in their own.
-pub struct Parts {
+/// External dependencies of the daemon, which tests can replace.
+pub struct Dependencies {
     /// The platform's log.
     pub log: Arc<dyn Log>,
     /// Bound listener of the resource interface.
     pub listen: TcpListener,
     /// Bound listener of the admin endpoint.
     pub admin: TcpListener,
-    /// Metrics.
+    /// Sink of the daemon's metrics.
     pub metrics: Metrics,
 }
 
-impl std::fmt::Debug for Parts {
+impl std::fmt::Debug for Dependencies {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Parts")
+        f.debug_struct("Dependencies")
             .field("listen", &self.listen)
             .field("admin", &self.admin)
             .finish_non_exhaustive()
     }
 }
 
-impl Parts {
-    /// Opens the log and binds the addresses that the settings name.
+impl Dependencies {
+    /// Opens the log and binds the addresses in the settings.
     ///
     /// # Errors
-    /// When an address can't be bound.
+    /// Fails if an address can't be bound.
     pub fn open(settings: &OperatorSettings, metrics: Metrics) -> anyhow::Result<Self> {
         let name = format!("swiftlink-operator/{}", settings.common.vm);
         Ok(Self {
@@ -75,7 +75,7 @@
 pub struct Operator {
     web: WebServer,
     admin: Admin,
-    board: Arc<Board>,
+    state: Arc<SharedState>,
     ledgers: Arc<Ledgers>,
     follower: JoinHandle<()>,
     stop: CancellationToken,
@@ -92,24 +92,24 @@
 }
 
 impl Operator {
-    /// Runs the daemon until the shell is told to stop; the body of its `main`.
+    /// Runs the daemon until the shell is stopped; the body of its `main`.
     ///
     /// # Errors
-    /// When an address can't be bound or a thread can't be started.
+    /// Fails if an address can't be bound or a thread can't be started.
     pub async fn run(settings: OperatorSettings, shell: Shell) -> anyhow::Result<()> {
-        let parts = Parts::open(&settings, shell.metrics.clone())?;
-        let operator = Self::spawn(settings, parts)?;
+        let dependencies = Dependencies::open(&settings, shell.metrics.clone())?;
+        let operator = Self::spawn(settings, dependencies)?;
         shell.stopped().await;
         operator.stop().await;
         Ok(())
     }
 
-    /// Starts the daemon. Must be called inside a multi-threaded tokio runtime.
+    /// Starts the daemon. Must be called within a multi-threaded tokio runtime.
     ///
     /// # Errors
-    /// When the servers' threads can't be started.
-    pub fn spawn(settings: OperatorSettings, parts: Parts) -> anyhow::Result<Self> {
-        let board = Arc::new(Board::new(settings.history));
+    /// Fails if the threads of the servers can't be started.
+    pub fn spawn(settings: OperatorSettings, dependencies: Dependencies) -> anyhow::Result<Self> {
+        let state = Arc::new(SharedState::new(settings.history));
         let ledgers = Arc::new(Ledgers::open(
             &settings.ledgers,
             &settings.common.domain,
@@ -118,19 +118,19 @@
         ));
         let stop = CancellationToken::new();
         let tracker = TaskTracker::new();
-        let interface = interface(&settings, &parts, &board, &ledgers, &tracker);
+        let interface = interface(&settings, &dependencies, &state, &ledgers, &tracker);
         let limits = Limits {
-            connections: CONNECTIONS,
+            connections: MAX_CONNECTIONS,
             ..Limits::default()
         };
-        let web = WebServer::bind(parts.listen, limits, Arc::new(interface))?;
-        let dump = State {
-            board: Arc::clone(&board),
+        let web = WebServer::bind(dependencies.listen, limits, Arc::new(interface))?;
+        let dump = AdminState {
+            state: Arc::clone(&state),
             ledgers: Arc::clone(&ledgers),
             settings: settings.clone(),
         };
-        let admin = Admin::listen(parts.admin, Arc::new(dump))?;
-        let follower = Follower::new(parts.log, Arc::clone(&ledgers), Arc::clone(&board));
+        let admin = Admin::listen(dependencies.admin, Arc::new(dump))?;
+        let follower = Follower::new(dependencies.log, Arc::clone(&ledgers), Arc::clone(&state));
         let follower = tokio::spawn(follower.run(stop.clone()));
         event!(
             info,
@@ -141,30 +141,30 @@
         Ok(Self {
             web,
             admin,
-            board,
+            state,
             ledgers,
             follower,
             stop,
             tracker,
-            grace: settings.apply_limit() + settings.topup_limit() + STOP_MARGIN,
+            grace: settings.apply_timeout() + settings.topup_timeout() + SHUTDOWN_MARGIN,
         })
     }
 
-    /// Address of the resource interface.
+    /// Returns the address of the resource interface.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.web.address()
     }
 
-    /// Address of the admin endpoint.
+    /// Returns the address of the admin endpoint.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Ends watches, lets applies in flight come to their answer, and joins all tasks.
+    /// Stops the daemon: ends watches, completes applies in flight and joins all tasks.
     pub async fn stop(self) {
-        self.board.closing().cancel();
+        self.state.shutdown().cancel();
         self.web.stop(self.grace).await;
         self.tracker.close();
         self.tracker.wait().await;
@@ -179,55 +179,55 @@
 
 fn interface(
     settings: &OperatorSettings,
-    parts: &Parts,
-    board: &Arc<Board>,
+    dependencies: &Dependencies,
+    state: &Arc<SharedState>,
     ledgers: &Arc<Ledgers>,
     tracker: &TaskTracker,
 ) -> Interface {
     let applier = Applier {
-        log: Arc::clone(&parts.log),
-        board: Arc::clone(board),
+        log: Arc::clone(&dependencies.log),
+        state: Arc::clone(state),
         ledgers: Arc::clone(ledgers),
-        metrics: parts.metrics.clone(),
-        limit: settings.apply_limit(),
-        topup: settings.topup_limit(),
+        metrics: dependencies.metrics.clone(),
+        decision_timeout: settings.apply_timeout(),
+        topup_timeout: settings.topup_timeout(),
     };
     Interface {
         token: Interface::token(settings.token.expose()),
-        board: Arc::clone(board),
+        state: Arc::clone(state),
         applier: Arc::new(applier),
         ledgers: Arc::clone(ledgers),
         fleet: Arc::new(Fleet::new(
             settings.processes.clone(),
-            settings.probe_limit(),
+            settings.probe_timeout(),
         )),
         heartbeat: settings.heartbeat(),
-        metrics: parts.metrics.clone(),
+        metrics: dependencies.metrics.clone(),
         handle: Handle::current(),
         tracker: tracker.clone(),
     }
 }
 
-/// What the admin endpoint shows.
-struct State {
-    board: Arc<Board>,
+/// AdminState shown by the admin endpoint.
+struct AdminState {
+    state: Arc<SharedState>,
     ledgers: Arc<Ledgers>,
     settings: OperatorSettings,
 }
 
-impl Dump for State {
+impl Dump for AdminState {
     fn dump(&self) -> Value {
-        let (events, oldest) = self.board.history();
+        let (events, oldest) = self.state.history();
         let ledgers: Vec<_> = self
             .ledgers
-            .states()
+            .link_states()
             .map(|(name, up)| json!({ "name": name, "up": up }))
             .collect();
         json!({
             "status": self.status(),
             "events": events,
             "oldest_watch": oldest,
-            "resources": self.board.config().map(|config| config.count()),
+            "resources": self.state.config().map(|config| config.count()),
             "ledgers": ledgers,
             "settings": self.settings,
         })
@@ -238,9 +238,9 @@
             "role": "operator",
             "vm": self.settings.common.vm,
             "domain": self.settings.common.domain,
-            "config_version": self.board.version(),
-            "log_offset": self.board.next(),
-            "log_age_ms": self.board.age_ms(),
+            "config_version": self.state.version(),
+            "log_offset": self.state.next_offset(),
+            "log_age_ms": self.state.age_ms(),
         })
     }
 }
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The other processes, asked at their admin addresses.
+//! Client of the admin endpoints of the other processes.
 
 use std::time::Duration;
 
@@ -11,73 +11,82 @@
 
 use crate::settings::Process;
 
-/// Names under which a status may give the configuration version in force.
+/// Keys of the configuration version in the status of a process, in order of preference.
 const VERSION_FIELDS: [&str; 2] = ["config_version", "version"];
 
-/// Every process of the settings.
+/// The processes in the settings.
 pub(crate) struct Fleet {
     http: Http,
     processes: Vec<Process>,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// Why a process gave no answer.
+/// Error of a call to a process.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum FleetError {
-    /// It is not in the settings.
+    /// The process isn't in the settings.
     #[error("no process {0:?} in the operator's settings")]
     Unknown(String),
-    /// It did not answer in time.
+    /// The process can't be reached or did not respond in time.
     #[error("{0} does not answer: {1}")]
     Unreachable(String, String),
-    /// It refused.
+    /// The process responded with an error status.
     #[error("{0} answered with status {1}: {2}")]
     Refused(String, u16, String),
 }
 
 impl Fleet {
-    pub(crate) fn new(processes: Vec<Process>, limit: Duration) -> Self {
+    pub(crate) fn new(processes: Vec<Process>, timeout: Duration) -> Self {
         Self {
             http: Http::open("swiftlink-operator"),
             processes,
-            limit,
+            timeout,
         }
     }
 
-    /// The status of every process; all are asked at once.
+    /// Queries the status of all processes concurrently.
     pub(crate) async fn status(&self) -> Vec<ProcessStatus> {
-        join_all(self.processes.iter().map(|process| self.status_of(process))).await
+        join_all(
+            self.processes
+                .iter()
+                .map(|process| self.process_status(process)),
+        )
+        .await
     }
 
-    /// The state dump of a process.
+    /// Fetches the state dump of a process.
     pub(crate) async fn dump(&self, name: &str) -> Result<Value, FleetError> {
         let process = self.find(name)?;
         let answer = self
-            .ask(process, &Call::get(process.admin, "/dump"))
+            .request(process, &Call::get(process.admin, "/dump"))
             .await?;
         Ok(json(&answer.body))
     }
 
-    /// The log level of a process.
-    pub(crate) async fn read_level(&self, name: &str) -> Result<Value, FleetError> {
+    /// Reads the log level of a process.
+    pub(crate) async fn read_log_level(&self, name: &str) -> Result<Value, FleetError> {
         let process = self.find(name)?;
         let call = Call::get(process.admin, "/log-level");
-        Ok(json(&self.ask(process, &call).await?.body))
+        Ok(json(&self.request(process, &call).await?.body))
     }
 
     /// Sets the log level of a process.
-    pub(crate) async fn log_level(&self, name: &str, level: Bytes) -> Result<Value, FleetError> {
+    pub(crate) async fn set_log_level(
+        &self,
+        name: &str,
+        level: Bytes,
+    ) -> Result<Value, FleetError> {
         let process = self.find(name)?;
         let call = Call {
             method: Method::PUT,
             body: level,
             ..Call::get(process.admin, "/log-level")
         };
-        let answer = self.ask(process, &call).await?;
+        let answer = self.request(process, &call).await?;
         Ok(json(&answer.body))
     }
 
-    async fn status_of(&self, process: &Process) -> ProcessStatus {
+    async fn process_status(&self, process: &Process) -> ProcessStatus {
         let mut status = ProcessStatus {
             name: process.name.clone(),
             role: process.role.clone(),
@@ -89,7 +98,7 @@
             status: Value::Null,
         };
         match self
-            .ask(process, &Call::get(process.admin, "/status"))
+            .request(process, &Call::get(process.admin, "/status"))
             .await
         {
             Ok(answer) => {
@@ -108,8 +117,8 @@
         found.ok_or_else(|| FleetError::Unknown(name.to_owned()))
     }
 
-    async fn ask(&self, process: &Process, call: &Call<'_>) -> Result<Answer, FleetError> {
-        let answer = self.http.fetch(call, self.limit).await;
+    async fn request(&self, process: &Process, call: &Call<'_>) -> Result<Answer, FleetError> {
+        let answer = self.http.fetch(call, self.timeout).await;
         let answer = answer
             .map_err(|error| FleetError::Unreachable(process.name.clone(), error.to_string()))?;
         if answer.status.is_success() {
--- a/crates/operator/src/follower.rs
+++ b/crates/operator/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration stream: from the log, or from a ledger while the log is out.
+//! Follows the configuration stream: on the log, or through a ledger during a log outage.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,48 +12,48 @@
 use swiftlink_wire::log::LogRecord;
 use tokio_util::sync::CancellationToken;
 
-use crate::board::Board;
 use crate::ledgers::Ledgers;
+use crate::shared_state::SharedState;
 
 /// Name of the configuration stream.
 pub(crate) const CONFIG_STREAM: &str = "config";
-/// Records read at a time.
+/// Maximum number of records per read.
 const PAGE_RECORDS: u32 = 512;
-/// Time that a read waits for news.
+/// Long-poll timeout of a read.
 const READ_WAIT: Duration = Duration::from_secs(1);
-/// First and largest ceiling of the delay between tries of the log.
+/// Initial and maximum backoff between reads during a log outage.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
-/// Feeds the replica of the configuration and publishes what it decides.
+/// Feeds records to the replica of the configuration and publishes the decisions.
 pub(crate) struct Follower {
     log: Arc<dyn Log>,
     ledgers: Arc<Ledgers>,
-    board: Arc<Board>,
+    state: Arc<SharedState>,
     replica: Replica<Fold>,
     stream: StreamName,
     backoff: Backoff,
-    /// Gaps of the replica that the board was told of.
-    gaps: u64,
-    /// Since when the log does not answer.
-    outage: Option<Instant>,
+    /// Number of the replica's gaps that were published as restarts of the journal.
+    published_gaps: u64,
+    /// Start of the current log outage.
+    outage_start: Option<Instant>,
 }
 
 impl Follower {
-    pub(crate) fn new(log: Arc<dyn Log>, ledgers: Arc<Ledgers>, board: Arc<Board>) -> Self {
+    pub(crate) fn new(log: Arc<dyn Log>, ledgers: Arc<Ledgers>, state: Arc<SharedState>) -> Self {
         Self {
             log,
             ledgers,
-            board,
+            state,
             replica: Replica::new(),
             stream: StreamName::from(CONFIG_STREAM),
             backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP),
-            gaps: 0,
-            outage: None,
+            published_gaps: 0,
+            outage_start: None,
         }
     }
 
-    /// Follows until `stop` is cancelled.
+    /// Follows the stream until `stop` is cancelled.
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         loop {
             tokio::select! {
@@ -65,52 +65,52 @@
 
     async fn step(&mut self) {
         let from = self.replica.next();
-        // Until the end was reached once, an empty page is news too.
-        let wait = match self.board.config() {
+        // Don't long-poll until the end was first reached: an empty page shows that it is.
+        let wait = match self.state.config() {
             Some(_) => READ_WAIT,
             None => Duration::ZERO,
         };
         let read = self.log.read(&self.stream, from, PAGE_RECORDS, wait).await;
         match read {
             Ok(page) => {
-                self.end_outage();
+                self.on_log_response();
                 self.feed(page.first, &page.records);
                 if self.replica.next() >= page.next {
-                    self.caught_up(0);
+                    self.on_caught_up(0);
                 }
             }
             Err(LogError::Trimmed { first }) => {
-                self.end_outage();
+                self.on_log_response();
                 self.feed(first, &[]);
             }
-            Err(error) => self.pass_outage(&error).await,
+            Err(error) => self.back_off(&error).await,
         }
     }
 
-    fn end_outage(&mut self) {
+    fn on_log_response(&mut self) {
         self.backoff.reset();
-        if let Some(since) = self.outage.take() {
+        if let Some(since) = self.outage_start.take() {
             let ms = since.elapsed().as_millis();
-            event!(info, "log.back", stream = self.stream, outage_ms = ms);
+            event!(info, "log.recovered", stream = self.stream, outage_ms = ms);
         }
     }
 
-    /// Waits until the next try of the log; meanwhile takes pages from a ledger.
-    async fn pass_outage(&mut self, error: &LogError) {
-        if self.outage.is_none() {
-            event!(warn, "log.out", stream = self.stream, error = error);
-            self.outage = Some(Instant::now());
+    /// Waits for the backoff before the next read of the log; meanwhile reads from a ledger.
+    async fn back_off(&mut self, error: &LogError) {
+        if self.outage_start.is_none() {
+            event!(warn, "log.unavailable", stream = self.stream, error = error);
+            self.outage_start = Some(Instant::now());
         }
         let pause = self.backoff.next(rand::rng().next_u64());
         let until = tokio::time::Instant::now() + pause;
-        let pages = tokio::time::timeout_at(until, self.take_pages()).await;
+        let pages = tokio::time::timeout_at(until, self.read_from_ledger()).await;
         if pages.is_ok() {
             tokio::time::sleep_until(until).await;
         }
     }
 
-    /// Feeds the pages of a ledger until it has no more to say.
-    async fn take_pages(&mut self) {
+    /// Applies the pages of a ledger until its reply stream ends.
+    async fn read_from_ledger(&mut self) {
         let ledgers = Arc::clone(&self.ledgers);
         let from = self.replica.next();
         let Some((name, Ok(mut pages))) = ledgers.follow(CONFIG_STREAM, from).await else {
@@ -118,18 +118,19 @@
         };
         event!(debug, "config.from_ledger", ledger = name, from = from);
         while let Some(Ok(reply::Kind::Page(page))) = pages.next().await {
-            self.take_page(&page);
+            self.apply_page(&page);
         }
     }
 
-    fn take_page(&mut self, page: &Page) {
-        // Records between are missing: what is in force stays until the log is back.
-        if page.first > self.replica.next() && self.board.config().is_some() {
+    fn apply_page(&mut self, page: &Page) {
+        // Records before this page are missing: keep the current configuration until the log is
+        // available again.
+        if page.first > self.replica.next() && self.state.config().is_some() {
             return;
         }
         self.feed(page.first, &page.records);
         if self.replica.next() >= page.next {
-            self.caught_up(page.age_ms);
+            self.on_caught_up(page.age_ms);
         }
     }
 
@@ -137,41 +138,41 @@
         let fates = match self.replica.feed(first, records) {
             Ok(fates) => fates,
             Err(error) => {
-                event!(warn, "config.hole", stream = self.stream, error = error);
+                event!(warn, "config.gap", stream = self.stream, error = error);
                 return;
             }
         };
         let mut restart = None;
         let gaps = self.replica.stats().gaps;
-        if gaps != self.gaps && self.replica.is_ready() {
-            self.gaps = gaps;
-            // Between the loaded snapshot and the first fate stand no events.
+        if gaps != self.published_gaps && self.replica.is_ready() {
+            self.published_gaps = gaps;
+            // There are no events between the loaded snapshot and the first fate.
             let version = self.replica.state().map_or(0, |fold| fold.config().version);
             restart = Some(fates.first().map_or(version, |(offset, _fate)| *offset));
         }
         let fates = fates.into_iter().map(|(_offset, fate)| fate).collect();
-        // The configuration goes first: who sees an event finds its effect in force.
-        if self.board.config().is_some() {
-            self.put();
+        // Publish the configuration first: a reader that sees an event must find it applied.
+        if self.state.config().is_some() {
+            self.publish_config();
         }
-        self.board.publish(self.replica.next(), fates, restart);
+        self.state.publish(self.replica.next(), fates, restart);
     }
 
-    /// The state holds all that the stream held `age_ms` ago.
-    fn caught_up(&mut self, age_ms: u64) {
+    /// Records that the replica holds everything that was on the stream `age_ms` ago.
+    fn on_caught_up(&mut self, age_ms: u64) {
         if !self.replica.is_ready() {
             return;
         }
-        if self.board.config().is_none() {
-            self.put();
-            event!(info, "config.ready", version = self.board.version());
+        if self.state.config().is_none() {
+            self.publish_config();
+            event!(info, "config.ready", version = self.state.version());
         }
-        self.board.hear(age_ms);
+        self.state.mark_up_to_date(age_ms);
     }
 
-    fn put(&self) {
+    fn publish_config(&self) {
         if let Some(fold) = self.replica.state() {
-            self.board.put(fold.config());
+            self.state.set_config(fold.config());
         }
     }
 }
--- a/crates/operator/src/journal.rs
+++ b/crates/operator/src/journal.rs
@@ -1,4 +1,4 @@
-//! Memory of what the configuration stream decided: events for watches, fates for applies.
+//! In-memory history of the configuration stream: events for watches, fates for applies.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -8,97 +8,99 @@
 #[cfg(test)]
 mod tests;
 
-/// Decisions that are kept, oldest forgotten first.
-const FATE_MEMORY: usize = 8_192;
+/// Number of retained fates; the oldest is evicted first.
+const MAX_FATES: usize = 8_192;
 
-/// Position of a watch in the journal; survives the trimming of older events.
+/// Position of a watch in the journal; stays valid when older events are trimmed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Cursor {
     generation: u64,
     index: u64,
-    /// Events of this version or before are passed over, also those yet to come.
+    /// Events up to this version are skipped, including those added later.
     after: u64,
 }
 
-/// Events of a watch.
+/// Result of one read by a watch.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Batch {
-    /// The events.
+    /// Events in offset order.
     pub(crate) events: Vec<Event>,
-    /// When no more events wait: version up to which all were given.
-    pub(crate) whole: Option<u64>,
+    /// Version up to which all events were delivered; `None` if more events are pending.
+    pub(crate) complete_to: Option<u64>,
 }
 
-/// The events asked for are no longer kept.
+/// Error: the requested events are no longer retained.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Gone {
-    /// Oldest version that a watch can begin from.
+    /// Oldest version that a watch can start from.
     pub(crate) oldest: u64,
 }
 
 /// Events and fates in offset order.
 #[derive(Debug)]
 pub(crate) struct Journal {
-    limit: usize,
+    /// Maximum number of retained events.
+    max_events: usize,
     events: VecDeque<Event>,
-    /// Index of the first event kept, counted over the generation.
-    base: u64,
-    /// Every event of a later version is kept.
+    /// Index of the first retained event, counted from the start of the generation.
+    first_index: u64,
+    /// All events of later versions are retained.
     floor: u64,
-    /// Version after the last decision.
+    /// Configuration version after the last decision.
     version: u64,
-    /// Grows when events were lost between two that were seen.
+    /// Incremented when events were missed, which invalidates all cursors.
     generation: u64,
     fates: HashMap<Arc<str>, SetFate>,
-    order: VecDeque<Arc<str>>,
+    fate_order: VecDeque<Arc<str>>,
 }
 
 impl Journal {
-    pub(crate) fn new(limit: usize) -> Self {
+    pub(crate) fn new(max_events: usize) -> Self {
         Self {
-            limit,
+            max_events,
             events: VecDeque::new(),
-            base: 0,
+            first_index: 0,
             floor: 0,
             version: 0,
             generation: 0,
             fates: HashMap::new(),
-            order: VecDeque::new(),
+            fate_order: VecDeque::new(),
         }
     }
 
-    /// Adds a decision, in offset order.
+    /// Appends a fate. Fates must be pushed in offset order.
     pub(crate) fn push(&mut self, fate: SetFate) {
         self.version = self.version.max(fate.version);
         for event in &fate.events {
             self.events.push_back(event.clone());
         }
-        while self.events.len() > self.limit {
+        while self.events.len() > self.max_events {
             let Some(event) = self.events.pop_front() else {
                 break;
             };
-            self.base += 1;
+            self.first_index += 1;
             self.floor = self.floor.max(event.version);
         }
-        self.remember(fate);
+        self.insert_fate(fate);
     }
 
-    /// Forgets the events: some after them were never seen. `floor` is a version
-    /// from which on none is missing.
+    /// Discards the retained events because later ones were missed. No event after version
+    /// `floor` is missing.
     pub(crate) fn restart(&mut self, floor: u64) {
         self.events.clear();
-        self.base = 0;
+        self.first_index = 0;
         self.floor = floor;
         self.version = self.version.max(floor);
         self.generation += 1;
     }
 
-    /// The decision on a set. A copy's fate is known only if the first decision was not seen.
+    /// Returns the fate of a set. It is [`Verdict::Duplicate`] only if the first decision on the
+    /// set was not received.
     pub(crate) fn fate(&self, id: &str) -> Option<&SetFate> {
         self.fates.get(id)
     }
 
-    /// Where a watch of all events after `version` begins.
+    /// Returns the cursor of a watch of all events after `version`.
     pub(crate) fn seek(&self, version: u64) -> Result<Cursor, Gone> {
         if version < self.floor {
             return Err(Gone { oldest: self.floor });
@@ -108,22 +110,22 @@
             .partition_point(|event| event.version <= version);
         Ok(Cursor {
             generation: self.generation,
-            index: self.base + skip as u64,
+            index: self.first_index + skip as u64,
             after: version,
         })
     }
 
-    /// Up to `max` events from `cursor` on, which moves behind them.
+    /// Returns up to `max` events from `cursor` on and advances the cursor.
     pub(crate) fn read(&self, cursor: &mut Cursor, max: usize) -> Result<Batch, Gone> {
-        if cursor.generation != self.generation || cursor.index < self.base {
+        if cursor.generation != self.generation || cursor.index < self.first_index {
             return Err(Gone { oldest: self.floor });
         }
-        let skip = usize::try_from(cursor.index - self.base).unwrap_or(usize::MAX);
+        let skip = usize::try_from(cursor.index - self.first_index).unwrap_or(usize::MAX);
         let mut events = Vec::new();
-        let mut whole = Some(self.version.max(cursor.after));
+        let mut complete_to = Some(self.version.max(cursor.after));
         for event in self.events.iter().skip(skip) {
             if events.len() == max {
-                whole = None;
+                complete_to = None;
                 break;
             }
             cursor.index += 1;
@@ -131,36 +133,39 @@
                 events.push(event.clone());
             }
         }
-        Ok(Batch { events, whole })
+        Ok(Batch {
+            events,
+            complete_to,
+        })
     }
 
-    /// Number of events kept.
+    /// Returns the number of retained events.
     pub(crate) fn len(&self) -> usize {
         self.events.len()
     }
 
-    /// Oldest version that a watch can begin from.
+    /// Returns the oldest version that a watch can start from.
     pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
 
-    fn remember(&mut self, fate: SetFate) {
+    fn insert_fate(&mut self, fate: SetFate) {
         let id = Arc::clone(&fate.id);
         let known = self.fates.contains_key(&id);
         if known && fate.verdict == Verdict::Duplicate {
             return;
         }
         if !known {
-            self.order.push_back(Arc::clone(&id));
+            self.fate_order.push_back(Arc::clone(&id));
         }
-        // The events stand in the journal already.
-        let slim = SetFate {
+        // `events` has them already.
+        let without_events = SetFate {
             events: Vec::new(),
             ..fate
         };
-        self.fates.insert(id, slim);
-        if self.order.len() > FATE_MEMORY
-            && let Some(oldest) = self.order.pop_front()
+        self.fates.insert(id, without_events);
+        if self.fate_order.len() > MAX_FATES
+            && let Some(oldest) = self.fate_order.pop_front()
         {
             self.fates.remove(&oldest);
         }
--- a/crates/operator/src/journal/tests.rs
+++ b/crates/operator/src/journal/tests.rs
@@ -1,4 +1,4 @@
-//! The journal against a plain list of all events.
+//! Compares the journal with a plain list of all events.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     loop {
         let batch = journal.read(cursor, max).expect("kept");
         seen.extend(batch.events);
-        if batch.whole.is_some() {
+        if batch.complete_to.is_some() {
             return seen;
         }
     }
@@ -39,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn a_reader_gets_every_later_event_once_or_is_told(
+    fn a_reader_gets_every_later_event_once_or_an_error(
         sets in prop::collection::vec(0_u8..4, 1..40),
         limit in 1_usize..30,
         from in 0_u64..45,
@@ -58,7 +58,7 @@
                 cursor = Some(journal.seek(from));
             }
             if let Some(Ok(cursor)) = &mut cursor {
-                // A set may be larger than the journal; then the reader must be told.
+                // A set may exceed the capacity of the journal; then the read must fail.
                 if usize::from(*events) > limit {
                     return Ok(());
                 }
@@ -71,7 +71,7 @@
                 prop_assert_eq!(seen, all);
             }
             Some(Err(gone)) => {
-                // What is refused really is incomplete, and the version offered is not.
+                // A refused start really is below the floor, and the offered version is accepted.
                 prop_assert!(from < gone.oldest);
                 prop_assert!(journal.seek(journal.floor()).is_ok());
             }
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn a_reader_that_falls_behind_is_told(extra in 1_u64..20) {
+    fn a_reader_that_falls_behind_gets_an_error(extra in 1_u64..20) {
         let mut journal = Journal::new(5);
         let mut cursor = journal.seek(0).expect("from the beginning");
         for version in 1..=5 + extra {
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn a_restart_is_told_to_every_reader(before in 0_u64..9, floor in 9_u64..20) {
+    fn a_restart_invalidates_every_cursor(before in 0_u64..9, floor in 9_u64..20) {
         let mut journal = Journal::new(100);
         for version in 1..=before {
             journal.push(fate(version, 1));
--- a/crates/operator/src/ledgers.rs
+++ b/crates/operator/src/ledgers.rs
@@ -1,4 +1,4 @@
-//! Links to the ledgers: budgets, and the configuration while the log is out.
+//! Links to the ledgers, which serve budgets and, during a log outage, the configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use swiftlink_settings::LinkPeer;
 use swiftlink_wire::link::{BudgetView, Follow, GetBudgets, reply, request};
 
-/// Time limit of one question to a ledger.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of one query to a ledger.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Links to every ledger of the settings, those of the own failure domain first.
+/// Links to the ledgers in the settings, those in the same failure domain first.
 pub(crate) struct Ledgers {
     links: Vec<(String, Arc<Client>)>,
 }
 
-/// What the ledgers know of a budget.
-pub(crate) enum Known {
-    /// The newest view among the answers.
-    View(Budget),
-    /// Ledgers answered, this one among them, and none knows the budget.
-    Absent(String),
-    /// No ledger answered.
+/// Result of querying all ledgers for a budget.
+pub(crate) enum BudgetLookup {
+    /// The newest view among the replies.
+    Found(Budget),
+    /// No ledger that replied knows the budget; holds the name of one of them.
+    Unknown(String),
+    /// No ledger replied.
     Unreachable,
 }
 
@@ -45,31 +45,31 @@
         }
     }
 
-    /// Name of each ledger, and whether its link is up.
-    pub(crate) fn states(&self) -> impl Iterator<Item = (&str, bool)> {
+    /// Returns the name of each ledger and whether its link is up.
+    pub(crate) fn link_states(&self) -> impl Iterator<Item = (&str, bool)> {
         self.links
             .iter()
             .map(|(name, client)| (name.as_str(), client.is_up()))
     }
 
-    /// The newest view of a budget that any ledger has.
-    pub(crate) async fn budget(&self, name: &str) -> Known {
-        let asks = self
+    /// Queries all ledgers and returns the newest view of a budget.
+    pub(crate) async fn budget(&self, name: &str) -> BudgetLookup {
+        let queries = self
             .links
             .iter()
-            .map(|(ledger, client)| ask(ledger, client, name));
-        let mut known = Known::Unreachable;
-        let answers = join_all(asks).await;
+            .map(|(ledger, client)| query(ledger, client, name));
+        let mut lookup = BudgetLookup::Unreachable;
+        let answers = join_all(queries).await;
         for ((ledger, _client), answer) in self.links.iter().zip(answers) {
             let Some(answer) = answer else {
                 continue;
             };
-            known = newer(known, answer, ledger);
+            lookup = newer(lookup, answer, ledger);
         }
-        known
+        lookup
     }
 
-    /// Pages of `stream` from the first ledger whose link is up.
+    /// Requests pages of `stream` from the first ledger whose link is up; returns its name too.
     pub(crate) async fn follow(
         &self,
         stream: &str,
@@ -89,18 +89,18 @@
     }
 }
 
-async fn ask(ledger: &str, client: &Client, name: &str) -> Option<Option<Budget>> {
+async fn query(ledger: &str, client: &Client, name: &str) -> Option<Option<Budget>> {
     let names = vec![name.to_owned()];
     let kind = request::Kind::GetBudgets(GetBudgets { names });
-    let answer = client.call(kind, ASK_TIMEOUT).await;
+    let answer = client.call(kind, QUERY_TIMEOUT).await;
     let Ok(reply::Kind::Budgets(budgets)) = answer else {
         return None;
     };
     let view = budgets.items.into_iter().find(|view| view.name == name);
-    Some(view.map(|view| budget(ledger, view)))
+    Some(view.map(|view| to_budget(ledger, view)))
 }
 
-fn budget(ledger: &str, view: BudgetView) -> Budget {
+fn to_budget(ledger: &str, view: BudgetView) -> Budget {
     Budget {
         name: view.name,
         ledger: ledger.to_owned(),
@@ -115,11 +115,13 @@
     }
 }
 
-fn newer(known: Known, answer: Option<Budget>, ledger: &str) -> Known {
-    match (known, answer) {
-        (Known::View(old), Some(new)) if new.offset > old.offset => Known::View(new),
-        (Known::View(old), _) => Known::View(old),
-        (_, Some(new)) => Known::View(new),
-        (_, None) => Known::Absent(ledger.to_owned()),
+fn newer(lookup: BudgetLookup, answer: Option<Budget>, ledger: &str) -> BudgetLookup {
+    match (lookup, answer) {
+        (BudgetLookup::Found(old), Some(new)) if new.offset > old.offset => {
+            BudgetLookup::Found(new)
+        }
+        (BudgetLookup::Found(old), _) => BudgetLookup::Found(old),
+        (_, Some(new)) => BudgetLookup::Found(new),
+        (_, None) => BudgetLookup::Unknown(ledger.to_owned()),
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,18 +1,18 @@
-//! The operator daemon: resources over HTTP.
+//! The operator daemon: serves the resource interface over HTTP.
 //!
-//! It follows the configuration stream, answers reads from the folded state, and
-//! turns each `apply` into one change set on the log, whose fate it reads back
-//! before it answers. It keeps nothing: a restart folds the stream again.
+//! It follows the configuration stream and answers reads from the folded state. It appends each
+//! `apply` to the log as one change set and reads back its fate before it responds. It stores
+//! nothing locally: after a restart it folds the stream again.
 
 mod applier;
-mod board;
 mod daemon;
 mod fleet;
 mod follower;
 mod journal;
 mod ledgers;
 mod settings;
+mod shared_state;
 mod web;
 
-pub use daemon::{Operator, Parts};
+pub use daemon::{Dependencies, Operator};
 pub use settings::{OperatorSettings, Process};
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -7,41 +7,41 @@
 use serde::{Deserialize, Serialize};
 use swiftlink_settings::{CheckError, Common, LinkPeer, SecretString, Settings, check_peers};
 
-/// Shortest token that is taken (bytes).
-const TOKEN_MIN: usize = 16;
+/// Minimum length of the token.
+const MIN_TOKEN_BYTES: usize = 16;
 
 /// Settings of `swiftlink-operator`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Settings that every daemon has.
+    /// Settings common to all daemons.
     #[serde(flatten)]
     pub common: Common,
     /// Address of the resource interface.
     pub listen: SocketAddr,
-    /// Credential that operators send; 16 bytes or more.
+    /// Bearer token of the operators; at least 16 bytes.
     pub token: SecretString,
     /// Address of the platform's log.
     pub log: SocketAddr,
-    /// Ledgers asked for budgets, and for the configuration while the log is out.
+    /// Ledgers queried for budgets and, during a log outage, for the configuration.
     #[serde(default)]
     pub ledgers: Vec<LinkPeer>,
-    /// Processes that `status` and `dump` show.
+    /// Processes shown by `status` and `dump`.
     #[serde(default)]
     pub processes: Vec<Process>,
-    /// Time limit for a decision on an `apply` (ms).
+    /// Timeout of the decision on an `apply` (ms).
     #[serde(default = "default_apply")]
     pub apply_ms: u64,
-    /// Time that an `apply` waits for a ledger to count its top-ups (ms).
+    /// Time that an `apply` waits until a ledger credits its top-ups (ms).
     #[serde(default = "default_topup")]
     pub topup_ms: u64,
-    /// Time limit of a call of another process's admin address (ms).
+    /// Timeout of a call to the admin address of another process (ms).
     #[serde(default = "default_probe")]
     pub probe_ms: u64,
-    /// Time between two heartbeats of a quiet watch (ms).
+    /// Heartbeat interval of an idle watch (ms).
     #[serde(default = "default_heartbeat")]
     pub heartbeat_ms: u64,
-    /// Events kept for watches that begin in the past.
+    /// Number of events retained for watches that start from an earlier version.
     #[serde(default = "default_history")]
     pub history: usize,
 }
@@ -50,24 +50,24 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Process {
-    /// Name under which `status` and `dump` show it.
+    /// Name in `status` and `dump`.
     pub name: String,
-    /// `router`, `ledger` or `operator`.
+    /// Role: `router`, `ledger` or `operator`.
     pub role: String,
-    /// Its admin address.
+    /// Address of its admin endpoint.
     pub admin: SocketAddr,
 }
 
 impl OperatorSettings {
-    pub(crate) fn apply_limit(&self) -> Duration {
+    pub(crate) fn apply_timeout(&self) -> Duration {
         Duration::from_millis(self.apply_ms)
     }
 
-    pub(crate) fn topup_limit(&self) -> Duration {
+    pub(crate) fn topup_timeout(&self) -> Duration {
         Duration::from_millis(self.topup_ms)
     }
 
-    pub(crate) fn probe_limit(&self) -> Duration {
+    pub(crate) fn probe_timeout(&self) -> Duration {
         Duration::from_millis(self.probe_ms)
     }
 
@@ -82,8 +82,8 @@
     }
 
     fn check(&self) -> Result<(), CheckError> {
-        if self.token.expose().len() < TOKEN_MIN {
-            let detail = format!("must have at least {TOKEN_MIN} bytes");
+        if self.token.expose().len() < MIN_TOKEN_BYTES {
+            let detail = format!("must have at least {MIN_TOKEN_BYTES} bytes");
             return Err(CheckError::new("token", detail));
         }
         let limits = [
--- a/crates/operator/src/web/auth.rs
+++ b/crates/operator/src/web/auth.rs
@@ -1,13 +1,13 @@
-//! The operators' credential.
+//! Authentication of operators by bearer token.
 
 use std::fmt;
 
 use subtle::ConstantTimeEq;
 use swiftlink_shell::web::Incoming;
 
-use super::problem::Fault;
+use super::problem::ApiError;
 
-/// The credential that every request must carry.
+/// The bearer token that every request must carry.
 pub(crate) struct Token(Vec<u8>);
 
 impl Token {
@@ -15,8 +15,8 @@
         Self(text.as_bytes().to_vec())
     }
 
-    /// Compares in a time that depends on the lengths only.
-    pub(super) fn check(&self, request: &Incoming) -> Result<(), Fault> {
+    /// Checks the token of a request. The time of the comparison depends on the lengths only.
+    pub(super) fn check(&self, request: &Incoming) -> Result<(), ApiError> {
         let value = request.header("authorization").unwrap_or_default();
         let given = match value.split_once(' ') {
             Some((scheme, given)) if scheme.eq_ignore_ascii_case("bearer") => given.trim(),
@@ -25,7 +25,7 @@
         if bool::from(given.as_bytes().ct_eq(&self.0)) {
             return Ok(());
         }
-        Err(Fault::unauthenticated())
+        Err(ApiError::unauthenticated())
     }
 }
 
--- a/crates/operator/src/web/mod.rs
+++ b/crates/operator/src/web/mod.rs
@@ -19,23 +19,23 @@
 use tokio_util::task::TaskTracker;
 
 use crate::applier::Applier;
-use crate::board::Board;
 use crate::fleet::Fleet;
 use crate::ledgers::Ledgers;
+use crate::shared_state::SharedState;
 
 use auth::Token;
-use problem::Fault;
+use problem::ApiError;
 
-/// Serves the resource interface.
+/// The HTTP service of the resource interface.
 pub(crate) struct Interface {
     pub(crate) token: Token,
-    pub(crate) board: Arc<Board>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) applier: Arc<Applier>,
     pub(crate) ledgers: Arc<Ledgers>,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) heartbeat: Duration,
     pub(crate) metrics: Metrics,
-    /// Applies run there, so that a caller who goes away doesn't cut them off.
+    /// Runtime for detached work, which continues after the caller disconnects.
     pub(crate) handle: Handle,
     pub(crate) tracker: TaskTracker,
 }
@@ -45,23 +45,23 @@
         Token::new(text)
     }
 
-    /// Runs `work` to its end on the daemon's runtime, also when the caller goes away.
-    async fn detach<T, F>(&self, work: F) -> Result<T, Fault>
+    /// Runs `work` on the daemon's runtime to completion, even if the caller disconnects.
+    async fn detach<T, F>(&self, work: F) -> Result<T, ApiError>
     where
         T: Send + 'static,
         F: Future<Output = T> + Send + 'static,
     {
         let task = self.tracker.spawn_on(work, &self.handle);
-        task.await.map_err(|_error| Fault::stopping())
+        task.await.map_err(|_error| ApiError::stopping())
     }
 
-    async fn route(&self, request: &mut Incoming) -> Result<Response, Fault> {
+    async fn route(&self, request: &mut Incoming) -> Result<Response, ApiError> {
         self.token.check(request)?;
         let path = request.uri().path().to_owned();
-        let parts: Vec<_> = path.split('/').skip(1).map(decode).collect();
-        let parts: Vec<_> = parts.iter().map(String::as_str).collect();
+        let segments: Vec<_> = path.split('/').skip(1).map(decode_segment).collect();
+        let segments: Vec<_> = segments.iter().map(String::as_str).collect();
         let method = request.method().clone();
-        match (method, &parts[..]) {
+        match (method, &segments[..]) {
             (Method::POST, ["v1", "apply"]) => self.apply(request).await,
             (Method::GET, ["v1", "resources", kind]) => self.list(kind),
             (Method::GET, ["v1", "resources", kind, name]) => self.get(kind, name),
@@ -69,9 +69,11 @@
             (Method::GET, ["v1", "status"]) => self.status().await,
             (Method::GET, ["v1", "budgets", name]) => self.budget(name).await,
             (Method::GET, ["v1", "processes", name, "dump"]) => self.dump(name).await,
-            (Method::GET, ["v1", "processes", name, "log-level"]) => self.read_level(name).await,
+            (Method::GET, ["v1", "processes", name, "log-level"]) => {
+                self.read_log_level(name).await
+            }
             (Method::PUT, ["v1", "processes", name, "log-level"]) => {
-                self.log_level(name, request).await
+                self.set_log_level(name, request).await
             }
             (
                 _,
@@ -80,8 +82,8 @@
                 | ["v1", "resources", _, _]
                 | ["v1", "budgets", _]
                 | ["v1", "processes", _, "dump" | "log-level"],
-            ) => Err(Fault::method()),
-            _ => Err(Fault::no_path(&path)),
+            ) => Err(ApiError::method()),
+            _ => Err(ApiError::no_path(&path)),
         }
     }
 }
@@ -91,7 +93,7 @@
     async fn call(&self, mut request: Incoming) -> Response {
         let response = match self.route(&mut request).await {
             Ok(response) => response,
-            Err(fault) => fault.response(),
+            Err(error) => error.response(),
         };
         self.metrics.count("operator.requests", 1);
         if response.status() >= StatusCode::BAD_REQUEST {
@@ -101,6 +103,6 @@
     }
 }
 
-fn decode(part: &str) -> String {
-    percent_decode_str(part).decode_utf8_lossy().into_owned()
+fn decode_segment(segment: &str) -> String {
+    percent_decode_str(segment).decode_utf8_lossy().into_owned()
 }
--- a/crates/operator/src/web/problem.rs
+++ b/crates/operator/src/web/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers (RFC 9457).
+//! Error responses (RFC 9457).
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use swiftlink_resource::{Reject, RejectReason};
 use swiftlink_shell::web::{Body, BodyError, Response};
 
-/// Why a request is refused.
+/// Error response to a request.
 #[derive(Debug)]
-pub(super) struct Fault(Box<Problem>);
+pub(super) struct ApiError(Box<Problem>);
 
-impl Fault {
+impl ApiError {
     pub(super) fn new(status: StatusCode, slug: &str, title: &str, detail: &str) -> Self {
         Self(Box::new(Problem {
             kind: format!("urn:swiftlink:problem:{slug}"),
@@ -35,9 +35,9 @@
 
     pub(super) fn malformed(field: &str, detail: &str) -> Self {
         let title = "The request is malformed";
-        let mut fault = Self::new(StatusCode::BAD_REQUEST, "malformed", title, detail);
-        fault.0.field = Some(field.to_owned());
-        fault
+        let mut error = Self::new(StatusCode::BAD_REQUEST, "malformed", title, detail);
+        error.0.field = Some(field.to_owned());
+        error
     }
 
     pub(super) fn body(error: BodyError) -> Self {
@@ -67,8 +67,8 @@
     pub(super) fn loading() -> Self {
         let title = "The operator does not know the configuration yet";
         let detail = "it was not read to its end since the start; the log may be out";
-        let fault = Self::new(StatusCode::SERVICE_UNAVAILABLE, "loading", title, detail);
-        fault.retry(Duration::from_secs(1))
+        let error = Self::new(StatusCode::SERVICE_UNAVAILABLE, "loading", title, detail);
+        error.with_retry(Duration::from_secs(1))
     }
 
     pub(super) fn stopping() -> Self {
@@ -89,7 +89,7 @@
     }
 
     pub(super) fn rejected(id: &str, rejects: &[Reject]) -> Self {
-        let rejects: Vec<_> = rejects.iter().map(rejected).collect();
+        let rejects: Vec<_> = rejects.iter().map(to_rejected_change).collect();
         let mut detail = String::new();
         for reject in &rejects {
             if !detail.is_empty() {
@@ -101,10 +101,10 @@
             ));
         }
         let title = "The change was rejected as a whole";
-        let mut fault = Self::new(StatusCode::CONFLICT, "rejected", title, &detail);
-        fault.0.rejects = rejects;
-        fault.0.change_id = Some(id.to_owned());
-        fault
+        let mut error = Self::new(StatusCode::CONFLICT, "rejected", title, &detail);
+        error.0.rejects = rejects;
+        error.0.change_id = Some(id.to_owned());
+        error
     }
 
     pub(super) fn undecided(id: &str, applied: Certainty, detail: &str, retry: Duration) -> Self {
@@ -113,13 +113,13 @@
             Certainty::Unknown => "It is not known whether the change was applied",
         };
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        let mut fault = Self::new(status, "undecided", title, detail).retry(retry);
-        fault.0.applied = Some(applied);
-        fault.0.change_id = Some(id.to_owned());
-        fault
+        let mut error = Self::new(status, "undecided", title, detail).with_retry(retry);
+        error.0.applied = Some(applied);
+        error.0.change_id = Some(id.to_owned());
+        error
     }
 
-    fn retry(mut self, after: Duration) -> Self {
+    fn with_retry(mut self, after: Duration) -> Self {
         self.0.retry_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
     }
@@ -146,7 +146,7 @@
     }
 }
 
-fn rejected(reject: &Reject) -> RejectedChange {
+fn to_rejected_change(reject: &Reject) -> RejectedChange {
     let mut current = None;
     let (reason, detail) = match &reject.reason {
         RejectReason::Conflict { current: version } => {
--- a/crates/operator/src/web/query.rs
+++ b/crates/operator/src/web/query.rs
@@ -1,10 +1,10 @@
-//! Query strings.
+//! Parsing of query strings.
 
 use percent_encoding::percent_decode_str;
 
-use super::problem::Fault;
+use super::problem::ApiError;
 
-/// The value of a field of the query, decoded; `None` when absent or empty.
+/// Returns the decoded value of a query parameter; `None` if it is absent or empty.
 pub(super) fn field(query: Option<&str>, name: &str) -> Option<String> {
     for pair in query.unwrap_or_default().split('&') {
         let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
@@ -15,14 +15,14 @@
     None
 }
 
-/// The value of a numeric field.
-pub(super) fn number(query: Option<&str>, name: &str) -> Result<Option<u64>, Fault> {
+/// Returns the value of a numeric query parameter.
+pub(super) fn number(query: Option<&str>, name: &str) -> Result<Option<u64>, ApiError> {
     let Some(text) = field(query, name) else {
         return Ok(None);
     };
     match text.parse() {
         Ok(number) => Ok(Some(number)),
-        Err(_error) => Err(Fault::malformed(
+        Err(_error) => Err(ApiError::malformed(
             name,
             &format!("{text:?} is not a version"),
         )),
--- a/crates/operator/src/web/read.rs
+++ b/crates/operator/src/web/read.rs
@@ -1,4 +1,4 @@
-//! Reads: resources, status, budgets, dumps.
+//! Handlers of resources, status, budgets, dumps and log levels.
 
 use std::sync::Arc;
 
@@ -9,24 +9,24 @@
 use swiftlink_shell::web::{self, Incoming, Response};
 
 use super::Interface;
-use super::problem::Fault;
+use super::problem::ApiError;
 use crate::fleet::FleetError;
-use crate::ledgers::Known;
+use crate::ledgers::BudgetLookup;
 
-/// Longest name of a log level (bytes).
-const MAX_LEVEL: usize = 64;
+/// Maximum length of the name of a log level (bytes).
+const MAX_LEVEL_BYTES: usize = 64;
 
 impl Interface {
-    pub(super) fn config(&self) -> Result<Arc<Config>, Fault> {
-        self.board.config().ok_or_else(Fault::loading)
+    pub(super) fn config(&self) -> Result<Arc<Config>, ApiError> {
+        self.state.config().ok_or_else(ApiError::loading)
     }
 
-    pub(super) fn list(&self, kind: &str) -> Result<Response, Fault> {
+    pub(super) fn list(&self, kind: &str) -> Result<Response, ApiError> {
         let kind = parse_kind(kind)?;
         let config = self.config()?;
         let mut items = Vec::new();
         for (name, found) in config.list(kind) {
-            items.push(shown(kind, name, found));
+            items.push(to_api(kind, name, found));
         }
         let list = ResourceList {
             version: config.version,
@@ -35,19 +35,19 @@
         Ok(web::json(StatusCode::OK, &list))
     }
 
-    pub(super) fn get(&self, kind: &str, name: &str) -> Result<Response, Fault> {
+    pub(super) fn get(&self, kind: &str, name: &str) -> Result<Response, ApiError> {
         let kind = parse_kind(kind)?;
         let config = self.config()?;
         let Some(found) = config.get(kind, name) else {
-            return Err(Fault::not_found(&format!("no {kind} {name:?}")));
+            return Err(ApiError::not_found(&format!("no {kind} {name:?}")));
         };
-        Ok(web::json(StatusCode::OK, &shown(kind, name, found)))
+        Ok(web::json(StatusCode::OK, &to_api(kind, name, found)))
     }
 
-    pub(super) async fn status(&self) -> Result<Response, Fault> {
+    pub(super) async fn status(&self) -> Result<Response, ApiError> {
         let fleet = Arc::clone(&self.fleet);
         let mut processes = self.detach(async move { fleet.status().await }).await?;
-        let version = self.board.version();
+        let version = self.state.version();
         let known = processes.iter().filter_map(|process| process.version);
         let newest = known.max().unwrap_or(0).max(version);
         for process in &mut processes {
@@ -56,67 +56,70 @@
         let status = Status {
             newest,
             version,
-            age_ms: self.board.age_ms(),
+            age_ms: self.state.age_ms(),
             processes,
         };
         Ok(web::json(StatusCode::OK, &status))
     }
 
-    pub(super) async fn budget(&self, name: &str) -> Result<Response, Fault> {
+    pub(super) async fn budget(&self, name: &str) -> Result<Response, ApiError> {
         let ledgers = Arc::clone(&self.ledgers);
-        let asked = name.to_owned();
-        let known = self
-            .detach(async move { ledgers.budget(&asked).await })
+        let queried = name.to_owned();
+        let lookup = self
+            .detach(async move { ledgers.budget(&queried).await })
             .await?;
-        match known {
-            Known::View(budget) => Ok(web::json(StatusCode::OK, &budget)),
-            Known::Absent(ledger) => {
+        match lookup {
+            BudgetLookup::Found(budget) => Ok(web::json(StatusCode::OK, &budget)),
+            BudgetLookup::Unknown(ledger) => {
                 let declared = self.config()?.get(Kind::Budget, name).is_some();
                 if !declared {
-                    return Err(Fault::not_found(&format!("no budget {name:?}")));
+                    return Err(ApiError::not_found(&format!("no budget {name:?}")));
                 }
-                Ok(web::json(StatusCode::OK, &untouched(name, ledger)))
+                Ok(web::json(StatusCode::OK, &empty_budget(name, ledger)))
             }
-            Known::Unreachable => Err(Fault::unreachable("no ledger answers")),
+            BudgetLookup::Unreachable => Err(ApiError::unreachable("no ledger answers")),
         }
     }
 
-    pub(super) async fn dump(&self, name: &str) -> Result<Response, Fault> {
+    pub(super) async fn dump(&self, name: &str) -> Result<Response, ApiError> {
         let fleet = Arc::clone(&self.fleet);
         let name = name.to_owned();
         let dump = self.detach(async move { fleet.dump(&name).await }).await?;
-        proxied(dump)
+        proxy_response(dump)
     }
 
-    pub(super) async fn read_level(&self, name: &str) -> Result<Response, Fault> {
+    pub(super) async fn read_log_level(&self, name: &str) -> Result<Response, ApiError> {
         let fleet = Arc::clone(&self.fleet);
         let name = name.to_owned();
-        let level = self.detach(async move { fleet.read_level(&name).await });
-        proxied(level.await?)
+        let level = self.detach(async move { fleet.read_log_level(&name).await });
+        proxy_response(level.await?)
     }
 
-    pub(super) async fn log_level(
+    pub(super) async fn set_log_level(
         &self,
         name: &str,
         request: &mut Incoming,
-    ) -> Result<Response, Fault> {
-        let level = request.body(MAX_LEVEL).await.map_err(Fault::body)?;
+    ) -> Result<Response, ApiError> {
+        let level = request
+            .body(MAX_LEVEL_BYTES)
+            .await
+            .map_err(ApiError::body)?;
         let fleet = Arc::clone(&self.fleet);
         let name = name.to_owned();
-        let set = self.detach(async move { fleet.log_level(&name, level).await });
-        proxied(set.await?)
+        let set = self.detach(async move { fleet.set_log_level(&name, level).await });
+        proxy_response(set.await?)
     }
 }
 
-fn parse_kind(text: &str) -> Result<Kind, Fault> {
+fn parse_kind(text: &str) -> Result<Kind, ApiError> {
     let kind = text.parse();
     kind.map_err(|_error| {
         let known = Kind::ALL.map(Kind::as_str).join(", ");
-        Fault::not_found(&format!("no kind {text:?}; known are {known}"))
+        ApiError::not_found(&format!("no kind {text:?}; known are {known}"))
     })
 }
 
-fn shown(kind: Kind, name: &str, found: &resource::Resource) -> Resource {
+fn to_api(kind: Kind, name: &str, found: &resource::Resource) -> Resource {
     Resource {
         kind: kind.as_str().to_owned(),
         name: name.to_owned(),
@@ -125,8 +128,8 @@
     }
 }
 
-/// A declared budget that no record has touched yet.
-fn untouched(name: &str, ledger: String) -> Budget {
+/// A declared budget without any records yet.
+fn empty_budget(name: &str, ledger: String) -> Budget {
     Budget {
         name: name.to_owned(),
         ledger,
@@ -141,13 +144,13 @@
     }
 }
 
-fn proxied(answer: Result<Value, FleetError>) -> Result<Response, Fault> {
+fn proxy_response(answer: Result<Value, FleetError>) -> Result<Response, ApiError> {
     match answer {
         Ok(value) => Ok(web::json(StatusCode::OK, &value)),
-        Err(error @ FleetError::Unknown(_)) => Err(Fault::not_found(&error.to_string())),
+        Err(error @ FleetError::Unknown(_)) => Err(ApiError::not_found(&error.to_string())),
         Err(error @ FleetError::Refused(_, 400, _)) => {
-            Err(Fault::malformed("body", &error.to_string()))
+            Err(ApiError::malformed("body", &error.to_string()))
         }
-        Err(error) => Err(Fault::unreachable(&error.to_string())),
+        Err(error) => Err(ApiError::unreachable(&error.to_string())),
     }
 }
--- a/crates/operator/src/web/watch.rs
+++ b/crates/operator/src/web/watch.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/watch`: events as lines of JSON.
+//! Handler of `GET /v1/watch`: streams events as JSON lines.
 
 use std::io;
 use std::sync::Arc;
@@ -16,34 +16,34 @@
 use tokio::time::Instant;
 
 use super::Interface;
-use super::problem::Fault;
+use super::problem::ApiError;
 use super::query;
-use crate::board::Board;
 use crate::journal::Cursor;
+use crate::shared_state::SharedState;
 
-/// Events sent at a time.
-const BATCH: usize = 256;
+/// Maximum number of events per chunk.
+const MAX_BATCH_EVENTS: usize = 256;
 
 impl Interface {
-    pub(super) fn watch(&self, request: &Incoming) -> Result<Response, Fault> {
+    pub(super) fn watch(&self, request: &Incoming) -> Result<Response, ApiError> {
         let query = request.uri().query();
-        let kind = match query::field(query, "kind") {
-            Some(text) => Some(
-                text.parse::<Kind>()
-                    .map_err(|_error| Fault::malformed("kind", &format!("{text:?} is no kind")))?,
-            ),
-            None => None,
-        };
+        let kind =
+            match query::field(query, "kind") {
+                Some(text) => Some(text.parse::<Kind>().map_err(|_error| {
+                    ApiError::malformed("kind", &format!("{text:?} is no kind"))
+                })?),
+                None => None,
+            };
         let config = self.config()?;
         let from = query::number(query, "from")?.unwrap_or(config.version);
-        let (state, cursor) = self.begin(&config, from)?;
+        let (initial, cursor) = self.start(&config, from)?;
         let watch = Watch {
-            board: Arc::clone(&self.board),
+            state: Arc::clone(&self.state),
             kind,
             cursor,
             heartbeat: self.heartbeat,
         };
-        let mut response = Response::new(Body::stream(watch.lines(state)));
+        let mut response = Response::new(Body::stream(watch.lines(initial)));
         let headers = response.headers_mut();
         headers.insert(
             CONTENT_TYPE,
@@ -53,41 +53,42 @@
         Ok(response)
     }
 
-    /// Where a watch begins, and the events to send before that.
+    /// Returns the cursor of a watch and the events to send before it.
     ///
-    /// A watch from 0 needs no deletions of before, so that it can always begin:
-    /// with the resources in force when older events are no longer kept.
-    fn begin(&self, config: &Config, from: u64) -> Result<(Vec<Event>, Cursor), Fault> {
-        match self.board.seek(from) {
+    /// A watch from version 0 doesn't need earlier deletions, so it can always start: if the
+    /// older events are no longer retained, it starts with the current resources.
+    fn start(&self, config: &Config, from: u64) -> Result<(Vec<Event>, Cursor), ApiError> {
+        match self.state.seek(from) {
             Ok(cursor) => Ok((Vec::new(), cursor)),
             Err(_gone) if from == 0 => {
-                let cursor = self.board.seek(config.version);
-                let cursor = cursor.map_err(|gone| Fault::gone(gone.oldest))?;
-                Ok((state_events(config), cursor))
+                let cursor = self.state.seek(config.version);
+                let cursor = cursor.map_err(|gone| ApiError::gone(gone.oldest))?;
+                Ok((current_as_events(config), cursor))
             }
-            Err(gone) => Err(Fault::gone(gone.oldest)),
+            Err(gone) => Err(ApiError::gone(gone.oldest)),
         }
     }
 }
 
+/// A watch in progress.
 struct Watch {
-    board: Arc<Board>,
+    state: Arc<SharedState>,
     kind: Option<Kind>,
     cursor: Cursor,
     heartbeat: Duration,
 }
 
 impl Watch {
-    fn lines(mut self, state: Vec<Event>) -> impl Stream<Item = Result<Bytes, io::Error>> {
+    fn lines(mut self, initial: Vec<Event>) -> impl Stream<Item = Result<Bytes, io::Error>> {
         stream! {
-            let mut pulse = self.board.pulse();
-            let mut beat = Instant::now();
-            if let Some(lines) = self.encode(&state) {
+            let mut changes = self.state.subscribe();
+            let mut next_heartbeat = Instant::now();
+            if let Some(lines) = self.encode(&initial) {
                 yield Ok(lines);
             }
             loop {
-                pulse.mark_unchanged();
-                let batch = match self.board.read(&mut self.cursor, BATCH) {
+                changes.mark_unchanged();
+                let batch = match self.state.read(&mut self.cursor, MAX_BATCH_EVENTS) {
                     Ok(batch) => batch,
                     Err(_gone) => {
                         yield Ok(end("events were lost between two that were sent"));
@@ -97,18 +98,18 @@
                 if let Some(lines) = self.encode(&batch.events) {
                     yield Ok(lines);
                 }
-                let Some(version) = batch.whole else {
+                let Some(version) = batch.complete_to else {
                     continue;
                 };
-                if !batch.events.is_empty() || Instant::now() >= beat {
+                if !batch.events.is_empty() || Instant::now() >= next_heartbeat {
                     yield Ok(line(&WatchLine::Heartbeat { heartbeat: version }));
-                    beat = Instant::now() + self.heartbeat;
+                    next_heartbeat = Instant::now() + self.heartbeat;
                 }
-                let closing = self.board.closing().clone();
+                let shutdown = self.state.shutdown().clone();
                 tokio::select! {
-                    _ = pulse.changed() => {}
-                    () = tokio::time::sleep_until(beat) => {}
-                    () = closing.cancelled() => return,
+                    _ = changes.changed() => {}
+                    () = tokio::time::sleep_until(next_heartbeat) => {}
+                    () = shutdown.cancelled() => return,
                 }
             }
         }
@@ -120,13 +121,13 @@
             if self.kind.is_some_and(|kind| kind != event.kind) {
                 continue;
             }
-            lines.extend_from_slice(&line(&WatchLine::Event(shown(event))));
+            lines.extend_from_slice(&line(&WatchLine::Event(to_watch_event(event))));
         }
         (!lines.is_empty()).then(|| Bytes::from(lines))
     }
 }
 
-fn shown(event: &Event) -> WatchEvent {
+fn to_watch_event(event: &Event) -> WatchEvent {
     let spec = event.spec.as_deref().map(serde_json::from_str);
     WatchEvent {
         version: event.version,
@@ -137,8 +138,8 @@
     }
 }
 
-/// The resources in force as events, oldest version first.
-fn state_events(config: &Config) -> Vec<Event> {
+/// Returns the current resources as events, oldest version first.
+fn current_as_events(config: &Config) -> Vec<Event> {
     let mut events = Vec::new();
     for kind in Kind::ALL {
         for (name, resource) in config.list(kind) {
--- a/crates/operator/tests/testsuite/apply.rs
+++ b/crates/operator/tests/testsuite/apply.rs
@@ -1,4 +1,4 @@
-//! Applies that race, and applies over a log that fails.
+//! Concurrent applies, and applies to a log that fails.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use swiftlink_client::{ClientError, Exit, change_id};
 use swiftlink_log::{Fault, Log, MemLog};
 
-use crate::rig::{HANG, Rig, TOKEN, caller, class, config, delete, put, request};
+use crate::rig::{Rig, TEST_TIMEOUT, TOKEN, class, client, config, delete, put, request};
 
 fn problem(error: ClientError) -> swiftlink_client::api::Problem {
     match error {
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_of_two_racing_changes_wins() {
+async fn one_of_two_concurrent_changes_wins() {
     let log = Arc::new(MemLog::new());
     let rennes = Rig::start(&log, &json!({})).await;
     let brest = Rig::start(&log, &json!({})).await;
@@ -43,11 +43,11 @@
         assert_eq!(lost.rejects[0].current, Some(won.version));
         base = won.version;
         for rig in [&rennes, &brest] {
-            let mut shown = rig.caller.get("class", "urgent").await.expect("exists");
+            let mut shown = rig.client.get("class", "urgent").await.expect("exists");
             while shown.version < base {
-                // The other operator reads the log a moment later.
+                // The other operator may lag behind the log.
                 tokio::task::yield_now().await;
-                shown = rig.caller.get("class", "urgent").await.expect("exists");
+                shown = rig.client.get("class", "urgent").await.expect("exists");
             }
             assert_eq!(shown.version, base);
             assert_eq!(shown.spec["weight"], weight);
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_whose_answer_is_lost_is_applied_once() {
+async fn a_change_with_a_lost_response_is_applied_once() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     log.fail_next(Fault::LoseAnswers, 1);
@@ -70,13 +70,13 @@
     assert_eq!(
         log.end(&config()),
         1,
-        "found by reading, not appended again"
+        "found by reading the log, not appended again"
     );
     rig.operator.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_lost_on_the_way_is_sent_again() {
+async fn a_change_with_a_lost_request_is_sent_again() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     log.fail_next(Fault::LoseRequests, 3);
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_applies_nothing_and_says_so() {
+async fn a_change_during_an_outage_is_refused_as_not_applied() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     log.set_fault(Fault::Outage);
@@ -104,12 +104,12 @@
     assert_eq!(refused.applied, Some(Certainty::No));
     assert!(refused.retry_ms.is_some());
 
-    // Reads go on, and nothing is applied when the log is back.
+    // Reads still work, and the refused change isn't applied after the outage.
     assert!(
-        rig.caller
+        rig.client
             .list("class")
             .await
-            .expect("reads go on")
+            .expect("reads still work")
             .items
             .is_empty()
     );
@@ -124,13 +124,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeated_id_is_in_doubt_during_an_outage() {
+async fn a_repeated_id_is_undecided_during_an_outage() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({ "apply_ms": 200 })).await;
     log.set_fault(Fault::Outage);
     let request = request(vec![class("urgent", None, 4)]);
     let refused = rig
-        .caller
+        .client
         .apply(&request, "earlier", true)
         .await
         .expect_err("refused");
@@ -140,14 +140,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_in_doubt_can_be_repeated_under_its_id() {
+async fn an_undecided_change_can_be_repeated_with_its_id() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({ "apply_ms": 200 })).await;
     let request = request(vec![class("urgent", None, 4)]);
     let id = change_id();
     log.set_fault(Fault::LoseRequests);
     let refused = rig
-        .caller
+        .client
         .apply(&request, &id, false)
         .await
         .expect_err("undecided");
@@ -155,12 +155,12 @@
 
     log.set_fault(Fault::None);
     let first = rig
-        .caller
+        .client
         .apply(&request, &id, true)
         .await
         .expect("accepted");
     let again = rig
-        .caller
+        .client
         .apply(&request, &id, true)
         .await
         .expect("accepted before");
@@ -176,7 +176,7 @@
     let request = request(vec![class("urgent", None, 4)]);
     let id = change_id();
     let here = first
-        .caller
+        .client
         .apply(&request, &id, false)
         .await
         .expect("accepted");
@@ -184,7 +184,7 @@
 
     let second = Rig::start(&log, &json!({})).await;
     let there = second
-        .caller
+        .client
         .apply(&request, &id, true)
         .await
         .expect("accepted");
@@ -193,13 +193,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unreachable_operator_is_passed_over() {
+async fn an_unreachable_operator_is_skipped() {
     let log = Arc::new(MemLog::new());
     let gone = Rig::start(&log, &json!({})).await;
     let gone_address = gone.operator.address();
     gone.operator.stop().await;
     let rig = Rig::start(&log, &json!({})).await;
-    let both = caller(&[gone_address, rig.operator.address()]);
+    let both = client(&[gone_address, rig.operator.address()]);
     let request = request(vec![class("urgent", None, 4)]);
     both.apply(&request, &change_id(), false)
         .await
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_set_is_rejected_as_a_whole() {
+async fn change_sets_are_atomic() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     let changes = vec![
@@ -232,7 +232,7 @@
     assert_eq!(refused.rejects.len(), 1);
     assert_eq!(refused.rejects[0].reason, "missing");
     assert!(
-        rig.caller
+        rig.client
             .list("class")
             .await
             .expect("listed")
@@ -246,7 +246,7 @@
     rig.apply(vec![delete("class", "urgent")])
         .await
         .expect("deleted");
-    let gone = problem(rig.caller.get("class", "urgent").await.expect_err("gone"));
+    let gone = problem(rig.client.get("class", "urgent").await.expect_err("gone"));
     assert_eq!(gone.status, 404);
     rig.operator.stop().await;
 }
@@ -269,7 +269,7 @@
     assert_eq!(again.results[0].version, again.version);
     assert_eq!(
         again.results[1].version, first.version,
-        "the top-up stayed as it was"
+        "the top-up is unchanged"
     );
 
     let end = log.end(&config());
@@ -317,13 +317,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_copy_on_the_log_does_not_hide_the_decision() {
+async fn a_duplicate_on_the_log_does_not_hide_the_decision() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     let request = request(vec![class("urgent", None, 4)]);
     let id = change_id();
     let first = rig
-        .caller
+        .client
         .apply(&request, &id, false)
         .await
         .expect("accepted");
@@ -333,18 +333,18 @@
         .expect("read");
     let copy = Bytes::from(page.records[0].data.clone());
     log.append(&config(), copy).await.expect("appended");
-    // A later set: once it is decided, the copy was read too.
+    // Once this later set is decided, the duplicate before it was read too.
     rig.apply(vec![class("later", None, 4)])
         .await
         .expect("accepted");
     let again = rig
-        .caller
+        .client
         .apply(&request, &id, true)
         .await
         .expect("accepted before");
     assert_eq!(first, again);
     assert_eq!(
-        rig.caller.list("class").await.expect("listed").items.len(),
+        rig.client.list("class").await.expect("listed").items.len(),
         2
     );
     rig.operator.stop().await;
@@ -356,7 +356,7 @@
     let rig = Rig::start(&log, &json!({})).await;
     let made = put("retirement", "vm-3", Some(0), json!({ "reason": "burnt" }));
     let applied = rig.apply(vec![made]).await.expect("accepted");
-    let shown = rig.caller.get("retirement", "vm-3").await.expect("exists");
+    let shown = rig.client.get("retirement", "vm-3").await.expect("exists");
     assert_eq!(
         (shown.version, &shown.spec),
         (applied.version, &json!({ "reason": "burnt" }))
@@ -366,17 +366,17 @@
     rig.apply(vec![delete("retirement", "vm-3")])
         .await
         .expect("deleted");
-    let list = rig.caller.list("retirement").await.expect("listed");
+    let list = rig.client.list("retirement").await.expect("listed");
     let names: Vec<_> = list.items.iter().map(|item| item.name.as_str()).collect();
     assert_eq!(names, ["vm-4"]);
     let mut stream = rig
-        .caller
+        .client
         .watch(Some("retirement"), Some(0))
         .await
         .expect("watched");
     let mut seen = Vec::new();
     while seen.len() < 3 {
-        let next = tokio::time::timeout(HANG, stream.next()).await;
+        let next = tokio::time::timeout(TEST_TIMEOUT, stream.next()).await;
         let event = next.expect("an event never came").expect("goes on");
         let event = event.expect("no end");
         seen.push((event.name, event.deleted));
--- a/crates/operator/tests/testsuite/examples.rs
+++ b/crates/operator/tests/testsuite/examples.rs
@@ -1,4 +1,4 @@
-//! The samples under `examples/` fit the daemons' settings and name every key.
+//! The sample settings in `examples/` are valid and list every key.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,11 +13,11 @@
     root.join(name)
 }
 
-/// Checks the sample as the daemon does at its start, and that no key is left out.
+/// Loads the sample as the daemon does at startup and checks that it lists every key.
 fn check<S: Settings>(name: &str) {
     let path = example(name);
     let settings: S = open(&path).unwrap_or_else(|error| panic!("{error}"));
-    let text = fs::read_to_string(&path).expect("read before");
+    let text = fs::read_to_string(&path).expect("readable");
     let Ok(Value::Object(effective)) = serde_json::to_value(&settings) else {
         panic!("settings are a table");
     };
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn the_operator_sample_is_valid_and_whole() {
+fn the_operator_sample_is_valid_and_complete() {
     check::<OperatorSettings>("operator.toml");
 }
 
 #[test]
-fn the_ledger_sample_is_valid_and_whole() {
+fn the_ledger_sample_is_valid_and_complete() {
     check::<LedgerSettings>("ledger.toml");
 }
 
 #[test]
-fn the_router_sample_is_valid_and_whole() {
+fn the_router_sample_is_valid_and_complete() {
     check::<swiftlink_router::Settings>("router.toml");
 }
--- a/crates/operator/tests/testsuite/interface.rs
+++ b/crates/operator/tests/testsuite/interface.rs
@@ -1,4 +1,4 @@
-//! Credentials, malformed requests, status and dumps.
+//! Authentication, malformed requests, status and dumps.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use swiftlink_client::http::{Answer, Call, Http};
 use swiftlink_log::{Fault, MemLog};
 
-use crate::rig::{Rig, TOKEN, caller, class, config, put, request};
+use crate::rig::{Rig, TOKEN, class, client, config, put, request};
 
 const LIMIT: Duration = Duration::from_secs(20);
 
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_get_nothing() {
+async fn requests_without_a_valid_token_are_refused() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     let apply = r#"{"changes":[{"kind":"class","name":"a","spec":{}}]}"#;
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn before_the_configuration_is_known_nothing_is_shown_or_applied() {
+async fn nothing_is_shown_or_applied_before_the_configuration_is_known() {
     let log = Arc::new(MemLog::new());
     log.set_fault(Fault::Outage);
     let rig = Rig::spawn(&log, &json!({}));
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_shows_who_answers_and_who_does_not() {
+async fn status_shows_reachable_and_unreachable_processes() {
     let log = Arc::new(MemLog::new());
     let seen = Rig::start(&log, &json!({})).await;
     let gone = Rig::start(&log, &json!({})).await;
@@ -147,7 +147,7 @@
         .await
         .expect("accepted");
     let status = loop {
-        let status = rig.caller.status().await.expect("answered");
+        let status = rig.client.status().await.expect("answered");
         if status.processes[0].current == Some(true) {
             break status;
         }
@@ -158,24 +158,24 @@
     assert!(!status.processes[1].reachable);
     assert!(status.processes[1].error.is_some());
 
-    let dump = rig.caller.dump("seen").await.expect("dumped");
+    let dump = rig.client.dump("seen").await.expect("dumped");
     assert_eq!(dump["resources"], 1);
     let text = dump.to_string();
     for secret in [TOKEN, crate::rig::SECRET] {
-        assert!(!text.contains(secret), "a secret stands in the dump");
+        assert!(!text.contains(secret), "the dump contains a secret");
     }
-    rig.caller
-        .log_level("seen", "debug")
+    rig.client
+        .set_log_level("seen", "debug")
         .await
         .expect("changed");
-    assert!(rig.caller.log_level("seen", "loud").await.is_err());
-    let level = rig.caller.read_level("seen").await.expect("read");
+    assert!(rig.client.set_log_level("seen", "loud").await.is_err());
+    let level = rig.client.read_log_level("seen").await.expect("read");
     assert_eq!(level, "debug");
     rig.operator.stop().await;
     seen.operator.stop().await;
 }
 
-/// Bodies and queries that no client sends: each gets an answer of 4xx, and nothing is applied.
+/// Random invalid bodies and queries are refused with status 400, and nothing is applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn arbitrary_input_is_refused() {
     const INPUTS: usize = 1_000;
@@ -205,12 +205,13 @@
         .is_some_and(|field| !field.is_empty())
 }
 
-/// The admin address in place of the operator's: an easy slip, and nothing is done there.
+/// A client that is given the admin address instead of the listen address gets a specific error,
+/// and nothing is applied.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_admin_address_is_told_apart() {
+async fn an_admin_address_is_detected() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
-    let admin = caller(&[rig.operator.admin()]);
+    let admin = client(&[rig.operator.admin()]);
     let error = admin.status().await.expect_err("no operator there");
     assert!(matches!(error, ClientError::NotOperator(_)), "{error:?}");
     let next = error.next_step().expect("a next step");
@@ -225,9 +226,10 @@
     rig.operator.stop().await;
 }
 
-/// A change whose answer was lost looks like someone else's: what is in force tells.
+/// If the response to a change is lost, its repetition looks like a conflict with somebody else's
+/// change. A comparison with the current resources tells the two apart.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_own_change_is_told_from_a_conflict() {
+async fn a_repeated_change_is_distinguished_from_a_conflict() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     let change = vec![class("urgent", Some(0), 2)];
@@ -237,13 +239,19 @@
         matches!(&again, Err(ClientError::Refused(problem)) if problem.is_conflict()),
         "{again:?}"
     );
-    let found = rig.caller.in_force(&request(change)).await;
-    let found = found.expect("asked").expect("it is as asked");
+    let found = rig.client.already_applied(&request(change)).await;
+    let found = found.expect("answered").expect("already applied");
     assert_eq!(found.version, first.version);
     let other = request(vec![class("urgent", Some(0), 3)]);
-    assert_eq!(rig.caller.in_force(&other).await.expect("asked"), None);
+    assert_eq!(
+        rig.client.already_applied(&other).await.expect("answered"),
+        None
+    );
     let absent = request(vec![class("patient", Some(0), 2)]);
-    assert_eq!(rig.caller.in_force(&absent).await.expect("asked"), None);
+    assert_eq!(
+        rig.client.already_applied(&absent).await.expect("answered"),
+        None
+    );
     rig.operator.stop().await;
 }
 
@@ -259,7 +267,10 @@
         ]
     };
     rig.apply(top_up(100)).await.expect("accepted");
-    let error = rig.apply(top_up(200)).await.expect_err("it stands");
+    let error = rig
+        .apply(top_up(200))
+        .await
+        .expect_err("top-ups are immutable");
     let next = error.next_step().expect("a next step");
     assert!(next.contains("new name"), "{next}");
     rig.operator.stop().await;
--- a/crates/operator/tests/testsuite/ledger.rs
+++ b/crates/operator/tests/testsuite/ledger.rs
@@ -1,4 +1,4 @@
-//! What the daemon takes from ledgers: budgets, and the configuration in an outage.
+//! Data that the daemon gets from ledgers: budgets and, during a log outage, the configuration.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 
 use crate::rig::{Rig, SECRET, class, config, put, snapshot_all};
 
-/// A ledger with one budget, whose top-up it shows once told to.
+/// A fake ledger with one budget; it lists a top-up once `counted` is set.
 struct Ledger {
     counted: AtomicBool,
     log: Arc<MemLog>,
-    /// Oldest offset that it keeps.
+    /// Oldest retained offset.
     first: u64,
 }
 
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_topup_is_effective_once_a_ledger_counts_it() {
+async fn a_topup_is_effective_once_a_ledger_credits_it() {
     let log = Arc::new(MemLog::new());
     let ledger = Arc::new(Ledger {
         counted: AtomicBool::new(false),
@@ -83,7 +83,7 @@
     });
     let (server, address) = serve(&ledger);
     let rig = Rig::start(&log, &with_ledger(address)).await;
-    while rig.caller.budget("notaries").await.is_err() {
+    while rig.client.budget("notaries").await.is_err() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let topup = |name| {
@@ -103,12 +103,12 @@
     let id = applied.id.clone();
     let request = crate::rig::request(vec![topup("first")]);
     let again = rig
-        .caller
+        .client
         .apply(&request, &id, true)
         .await
         .expect("accepted before");
     assert_eq!(again.results[0].effective, Some(true));
-    let budget = rig.caller.budget("notaries").await.expect("known");
+    let budget = rig.client.budget("notaries").await.expect("known");
     assert_eq!(
         (budget.topped_up, budget.ledger.as_str()),
         (500, "ledger-1")
@@ -118,8 +118,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ledger_gives_the_configuration_while_the_log_is_out() {
-    // The ledger still reaches the log; this operator does not.
+async fn a_ledger_provides_the_configuration_during_a_log_outage() {
+    // The ledger can reach the log; this operator can't.
     let near = Arc::new(MemLog::new());
     let far = Arc::new(MemLog::new());
     far.set_fault(Fault::Outage);
@@ -135,7 +135,7 @@
     });
     let (server, address) = serve(&ledger);
     let rig = Rig::start(&far, &with_ledger(address)).await;
-    let shown = rig.caller.get("class", "urgent").await.expect("shown");
+    let shown = rig.client.get("class", "urgent").await.expect("shown");
     assert_eq!(shown.spec["weight"], 4);
     assert!(rig.apply(vec![class("other", None, 4)]).await.is_err());
     rig.operator.stop().await;
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ledger_that_keeps_a_snapshot_only_is_enough_to_start_from() {
+async fn a_ledger_with_only_a_snapshot_is_enough_to_start_from() {
     let near = Arc::new(MemLog::new());
     let far = Arc::new(MemLog::new());
     far.set_fault(Fault::Outage);
@@ -164,7 +164,7 @@
     });
     let (server, address) = serve(&ledger);
     let rig = Rig::start(&far, &with_ledger(address)).await;
-    let shown = rig.caller.get("class", "urgent").await.expect("shown");
+    let shown = rig.client.get("class", "urgent").await.expect("shown");
     assert_eq!((shown.version, &shown.spec["weight"]), (3, &json!(3)));
     rig.operator.stop().await;
     writer.operator.stop().await;
--- a/crates/operator/tests/testsuite/main.rs
+++ b/crates/operator/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The operator daemon over HTTP, on a log in memory.
+//! Tests of the operator daemon over HTTP, with an in-memory log.
 
 mod apply;
 mod examples;
--- a/crates/operator/tests/testsuite/rig.rs
+++ b/crates/operator/tests/testsuite/rig.rs
@@ -1,4 +1,4 @@
-//! Operator daemons on one log in memory, with clients.
+//! Fixture: operator daemons and clients on an in-memory log.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -8,20 +8,21 @@
 use prost::Message;
 use serde_json::{Value, json};
 use swiftlink_client::api::{Applied, ApplyChange, ApplyRequest};
-use swiftlink_client::{ClientError, ClientSettings, Operator as Caller, change_id};
+use swiftlink_client::{ClientError, ClientSettings, Operator as Client, change_id};
 use swiftlink_log::{Fold as _, Log, MemLog, Replica, snapshot};
-use swiftlink_operator::{Operator, OperatorSettings, Parts};
+use swiftlink_operator::{Dependencies, Operator, OperatorSettings};
 use swiftlink_resource::Fold;
 use swiftlink_telemetry::Metrics;
 use swiftlink_types::StreamName;
 use swiftlink_wire::log::ChangeSet;
 
-/// A test that waits longer hangs.
-pub const HANG: Duration = Duration::from_secs(60);
+/// Timeout after which a test is considered hung.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 pub const TOKEN: &str = "token-of-the-operators";
 pub const SECRET: &str = "secret-of-the-links-0123";
 
-/// Settings with short limits; addresses are those of the bound listeners.
+/// Settings with a short heartbeat. The addresses are placeholders: the listeners are already
+/// bound.
 pub fn settings(more: &Value) -> OperatorSettings {
     let mut value = json!({
         "vm": "vm-1", "domain": "rennes-a", "admin": "127.0.0.1:1", "secret": SECRET,
@@ -34,14 +35,14 @@
     serde_json::from_value(value).expect("valid settings")
 }
 
-/// A running daemon and a client of it.
+/// A running daemon and its client.
 pub struct Rig {
     pub operator: Operator,
-    pub caller: Caller,
+    pub client: Client,
 }
 
 impl Rig {
-    /// A daemon on `log` that has read the configuration to its end.
+    /// Starts a daemon on `log` and waits until it has read the configuration.
     pub async fn start(log: &Arc<MemLog>, more: &Value) -> Self {
         let rig = Self::spawn(log, more);
         rig.ready().await;
@@ -49,37 +50,37 @@
     }
 
     pub fn spawn(log: &Arc<MemLog>, more: &Value) -> Self {
-        let parts = Parts {
+        let dependencies = Dependencies {
             log: Arc::clone(log) as _,
             listen: TcpListener::bind("127.0.0.1:0").expect("a free port"),
             admin: TcpListener::bind("127.0.0.1:0").expect("a free port"),
             metrics: Metrics::nop(),
         };
-        let operator = Operator::spawn(settings(more), parts).expect("starts");
-        let caller = caller(&[operator.address()]);
-        Self { operator, caller }
+        let operator = Operator::spawn(settings(more), dependencies).expect("starts");
+        let client = client(&[operator.address()]);
+        Self { operator, client }
     }
 
     pub async fn ready(&self) {
         let ready = async {
-            while self.caller.list("workspace").await.is_err() {
+            while self.client.list("workspace").await.is_err() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let ready = tokio::time::timeout(HANG, ready).await;
+        let ready = tokio::time::timeout(TEST_TIMEOUT, ready).await;
         ready.expect("the operator never read the configuration");
     }
 
-    /// Applies under a new id.
+    /// Applies the changes with a new change id.
     pub async fn apply(&self, changes: Vec<ApplyChange>) -> Result<Applied, ClientError> {
-        self.caller
+        self.client
             .apply(&request(changes), &change_id(), false)
             .await
     }
 }
 
-pub fn caller(operators: &[SocketAddr]) -> Caller {
-    Caller::open(ClientSettings {
+pub fn client(operators: &[SocketAddr]) -> Client {
+    Client::open(ClientSettings {
         operators: operators.to_vec(),
         token: TOKEN.to_owned(),
     })
@@ -112,7 +113,7 @@
     }
 }
 
-/// A class; any weight is a valid one.
+/// Declares a class with this weight.
 pub fn class(name: &str, base: Option<u64>, weight: u32) -> ApplyChange {
     put("class", name, base, json!({ "weight": weight }))
 }
@@ -121,7 +122,7 @@
     StreamName::from("config")
 }
 
-/// Appends a snapshot of all that the log holds, as a ledger does; gives its offset.
+/// Appends a snapshot of the whole log, as a ledger does, and returns the snapshot's offset.
 pub async fn snapshot_all(log: &MemLog) -> u64 {
     let mut replica = Replica::<Fold>::new();
     let page = log
--- a/crates/operator/tests/testsuite/watch.rs
+++ b/crates/operator/tests/testsuite/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: every event once and in order, from any version, across restarts.
+//! Watches deliver every event once and in order, from any version and across restarts.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use swiftlink_client::{ClientError, Watcher};
 use swiftlink_log::MemLog;
 
-use crate::rig::{HANG, Rig, caller, class, config, delete, snapshot_all};
+use crate::rig::{Rig, TEST_TIMEOUT, class, client, config, delete, snapshot_all};
 
-/// Applies some sets; some change two resources, one deletes, one is rejected.
-async fn history(rig: &Rig) {
+/// Applies sets that change two resources, sets that are rejected, and one that deletes.
+async fn apply_sample_changes(rig: &Rig) {
     for round in 1..=5 {
         let changes = vec![
             class("urgent", None, round),
@@ -29,13 +29,13 @@
 
 async fn take(rig: &Rig, from: u64, count: usize) -> Vec<WatchEvent> {
     let mut stream = rig
-        .caller
+        .client
         .watch(Some("class"), Some(from))
         .await
         .expect("watched");
     let mut events = Vec::new();
     while events.len() < count {
-        let next = tokio::time::timeout(HANG, stream.next()).await;
+        let next = tokio::time::timeout(TEST_TIMEOUT, stream.next()).await;
         let next = next.expect("an event never came");
         events.push(next.expect("goes on").expect("no end"));
     }
@@ -46,7 +46,7 @@
 async fn a_watch_from_any_version_gives_every_later_event_once() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
-    history(&rig).await;
+    apply_sample_changes(&rig).await;
     let all = take(&rig, 0, 11).await;
     assert!(all.is_sorted_by_key(|event| event.version));
     assert!(all[10].deleted && all[10].spec.is_null());
@@ -59,13 +59,13 @@
             .cloned()
             .collect();
         let mut expected = after.clone();
-        // One more set, so that events that must not come would be seen.
+        // Append one more set: unexpected events would be read before it.
         let applied = rig
             .apply(vec![class("last", None, 1)])
             .await
             .expect("accepted");
         let mut seen = take(&rig, from, after.len() + 1).await;
-        // Sets of earlier rounds stand between; this round's is the last of them.
+        // Skip the sets of earlier rounds; this round's set is the last.
         while seen.last().expect("not empty").version < applied.version {
             seen = take(&rig, from, seen.len() + 1).await;
         }
@@ -102,11 +102,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_watcher_goes_on_at_another_operator() {
+async fn a_watcher_resumes_at_another_operator() {
     let log = Arc::new(MemLog::new());
     let first = Rig::start(&log, &json!({})).await;
     let second = Rig::start(&log, &json!({})).await;
-    let both = caller(&[first.operator.address(), second.operator.address()]);
+    let both = client(&[first.operator.address(), second.operator.address()]);
     let mut watcher = Watcher::open(&both, None, Some(0)).await.expect("watched");
     let mut weights = Vec::new();
     for weight in 1..=3 {
@@ -132,19 +132,19 @@
 async fn an_operator_that_starts_from_a_snapshot_refuses_older_watches() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
-    history(&rig).await;
+    apply_sample_changes(&rig).await;
     let all = take(&rig, 0, 11).await;
     rig.operator.stop().await;
     let offset = snapshot_all(&log).await;
     log.trim(&config(), offset);
 
     let rig = Rig::start(&log, &json!({})).await;
-    let list = rig.caller.list("class").await.expect("listed");
+    let list = rig.client.list("class").await.expect("listed");
     assert_eq!(list.items.len(), 5);
     let version = list.version;
     assert_eq!(version, all[10].version);
 
-    // From the beginning: what is in force, then what changes.
+    // A watch from 0 starts with the current resources and continues with the changes.
     let applied = rig
         .apply(vec![class("late", None, 1)])
         .await
@@ -162,9 +162,9 @@
         ("late", applied.version)
     );
 
-    // From the listed version on nothing is missing; before it something may be.
+    // A watch from the listed version is complete; an older one is refused.
     assert_eq!(take(&rig, version, 1).await, seen[5..]);
-    match rig.caller.watch(None, Some(1)).await {
+    match rig.client.watch(None, Some(1)).await {
         Err(ClientError::Refused(problem)) => assert_eq!(problem.status, 410),
         other => panic!("not refused: {other:?}"),
     }
