--- a/crates/resource/src/config.rs
+++ b/crates/resource/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as processes use it.
+//! The current configuration, indexed for the processes that use it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 
 use crate::{Budget, Class, Key, KeyHash, Kind, Pool, Retirement, Server, Spec, TopUp, Workspace};
 
-/// The configuration at one version. Shared as `Arc<Config>` and never changed.
+/// The configuration at one version: an immutable snapshot, shared as `Arc<Config>`.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
-    /// Offset of the last accepted set plus one; 0 before the first.
+    /// Offset of the last accepted change set plus one; 0 before the first.
     pub version: u64,
     /// Workspaces by name.
     pub workspaces: BTreeMap<WorkspaceName, Arc<Workspace>>,
     /// Budgets by name.
     pub budgets: BTreeMap<BudgetName, Arc<Budget>>,
-    /// Top-ups by name; the name is the identifier under which it counts once.
+    /// Top-ups by name. The name is the idempotency key: a top-up is credited once per name.
     pub topups: BTreeMap<Arc<str>, Arc<TopUp>>,
     /// Priority classes by name.
     pub classes: BTreeMap<ClassName, Arc<Class>>,
@@ -29,23 +29,23 @@
     pub servers: BTreeMap<ServerName, Arc<Server>>,
     /// API keys by name.
     pub keys: BTreeMap<KeyName, Arc<Key>>,
-    /// Retirements by name of the VM that is gone for good.
+    /// Retirements by name of the permanently removed VM.
     pub retirements: BTreeMap<VmName, Arc<Retirement>>,
     resources: BTreeMap<Kind, BTreeMap<Arc<str>, Resource>>,
-    hashes: HashMap<KeyHash, KeyName>,
-    members: BTreeMap<PoolName, Vec<PoolServer>>,
-    /// Sums of `topups` by budget.
-    paid: BTreeMap<BudgetName, Tokens>,
+    keys_by_hash: HashMap<KeyHash, KeyName>,
+    pool_servers: BTreeMap<PoolName, Vec<PoolServer>>,
+    /// Sum of the top-ups of each budget (tokens).
+    topup_totals: BTreeMap<BudgetName, Tokens>,
 }
 
-/// One resource with its version.
+/// A resource with its version.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Resource {
-    /// Offset of the set that last changed it, plus one.
+    /// Offset of the change set that last changed it, plus one.
     pub version: u64,
-    /// The specification.
+    /// Its specification.
     pub spec: Spec,
-    /// The specification as JSON with every default spelled out.
+    /// The specification as JSON, defaults included.
     pub json: Arc<str>,
 }
 
@@ -59,55 +59,56 @@
 }
 
 impl Config {
-    /// The resource of this kind and name.
+    /// Returns the resource of this kind and name.
     #[must_use]
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Resource> {
         self.resources.get(&kind)?.get(name)
     }
 
-    /// The resources of a kind, by name.
+    /// Iterates over the resources of a kind in the order of their names.
     pub fn list(&self, kind: Kind) -> impl Iterator<Item = (&Arc<str>, &Resource)> {
         self.resources.get(&kind).into_iter().flatten()
     }
 
-    /// The API key whose secret has this SHA-256, also when it is disabled.
+    /// Returns the API key whose secret has this SHA-256 hash, including disabled keys.
     #[must_use]
     pub fn key_by_hash(&self, hash: &[u8; 32]) -> Option<(&KeyName, &Key)> {
-        let name = self.hashes.get(&KeyHash(*hash))?;
+        let name = self.keys_by_hash.get(&KeyHash(*hash))?;
         let (name, key) = self.keys.get_key_value(name)?;
-        // The map compares in variable time, but only hashes; what decides is constant.
+        // The map lookup isn't constant-time, but it compares hashes only; the comparison
+        // that decides is constant-time.
         if !bool::from(key.hash.0.ct_eq(hash)) {
             return None;
         }
         Some((name, key))
     }
 
-    /// The backend servers of a pool, by name, draining ones included.
+    /// Returns the backend servers of a pool, sorted by name, including draining ones.
     #[must_use]
     pub fn servers_of(&self, pool: &str) -> &[PoolServer] {
-        self.members.get(pool).map_or(&[], Vec::as_slice)
+        self.pool_servers.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// Tokens that all declared top-ups of a budget add up to.
+    /// Returns the sum of all declared top-ups of a budget (tokens).
     #[must_use]
     pub fn topped_up(&self, budget: &str) -> Tokens {
-        self.paid.get(budget).copied().unwrap_or_default()
+        self.topup_totals.get(budget).copied().unwrap_or_default()
     }
 
-    /// Number of resources of all kinds.
+    /// Returns the number of resources of all kinds.
     #[must_use]
     pub fn count(&self) -> usize {
         self.resources.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether an operator states that the VM of this name is gone for good.
+    /// Returns whether an operator declared the VM of this name permanently removed.
     #[must_use]
     pub fn is_retired(&self, vm: &str) -> bool {
         self.retirements.contains_key(vm)
     }
 
-    pub(crate) fn key_named(&self, hash: &KeyHash) -> Option<&KeyName> {
-        self.hashes.get(hash)
+    pub(crate) fn key_name_by_hash(&self, hash: &KeyHash) -> Option<&KeyName> {
+        self.keys_by_hash.get(hash)
     }
 
     pub(crate) fn put(&mut self, name: &Arc<str>, resource: Resource) {
@@ -122,8 +123,8 @@
                     .insert(BudgetName::from(&**name), Arc::clone(spec));
             }
             Spec::TopUp(spec) => {
-                let paid = self.paid.entry(spec.budget.clone()).or_default();
-                *paid = paid.saturating_add(spec.amount);
+                let total = self.topup_totals.entry(spec.budget.clone()).or_default();
+                *total = total.saturating_add(spec.amount);
                 self.topups.insert(Arc::clone(name), Arc::clone(spec));
             }
             Spec::Class(spec) => {
@@ -136,7 +137,7 @@
             Spec::Server(spec) => self.put_server(ServerName::from(&**name), spec),
             Spec::Key(spec) => {
                 let name = KeyName::from(&**name);
-                self.hashes.insert(spec.hash, name.clone());
+                self.keys_by_hash.insert(spec.hash, name.clone());
                 self.keys.insert(name, Arc::clone(spec));
             }
             Spec::Retirement(spec) => {
@@ -168,14 +169,14 @@
         let Some(spec) = self.topups.remove(name) else {
             return;
         };
-        if let Some(paid) = self.paid.get_mut(&spec.budget) {
-            *paid = paid.saturating_sub(spec.amount);
+        if let Some(total) = self.topup_totals.get_mut(&spec.budget) {
+            *total = total.saturating_sub(spec.amount);
         }
     }
 
     fn put_server(&mut self, name: ServerName, spec: &Arc<Server>) {
         self.servers.insert(name.clone(), Arc::clone(spec));
-        let members = self.members.entry(spec.pool.clone()).or_default();
+        let members = self.pool_servers.entry(spec.pool.clone()).or_default();
         let at = members.partition_point(|member| member.name < name);
         let spec = Arc::clone(spec);
         members.insert(at, PoolServer { name, spec });
@@ -185,12 +186,12 @@
         let Some(spec) = self.servers.remove(name) else {
             return;
         };
-        let Some(members) = self.members.get_mut(&spec.pool) else {
+        let Some(members) = self.pool_servers.get_mut(&spec.pool) else {
             return;
         };
         members.retain(|member| member.name.as_str() != name);
         if members.is_empty() {
-            self.members.remove(&spec.pool);
+            self.pool_servers.remove(&spec.pool);
         }
     }
 
@@ -198,13 +199,13 @@
         let Some(spec) = self.keys.remove(name) else {
             return;
         };
-        // The hash may have passed to another key of the same set already.
+        // Another key of the same change set may already own the hash.
         if self
-            .hashes
+            .keys_by_hash
             .get(&spec.hash)
             .is_some_and(|owner| owner.as_str() == name)
         {
-            self.hashes.remove(&spec.hash);
+            self.keys_by_hash.remove(&spec.hash);
         }
     }
 }
--- a/crates/resource/src/fold.rs
+++ b/crates/resource/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the configuration stream.
+//! Deterministic fold of the configuration stream.
 
 use std::sync::Arc;
 
@@ -6,41 +6,41 @@
 use swiftlink_log::Step;
 use swiftlink_wire::log as wire;
 
+use crate::dedup::DecidedSets;
 use crate::plan::{Edits, plan};
-use crate::sets::Sets;
 use crate::{Config, Event, SetFate, Verdict, snapshot};
 
-/// State of the configuration stream: the configuration in force and the sets
-/// decided lately. Equal records in equal order give equal states.
+/// State of the configuration stream: the current configuration and the recently decided
+/// change sets. It is deterministic: the same records in the same order give the same state.
 #[derive(Debug, Default)]
 pub struct Fold {
     pub(crate) config: Arc<Config>,
-    pub(crate) sets: Sets,
+    pub(crate) decided: DecidedSets,
 }
 
 impl Fold {
-    /// The configuration in force.
+    /// Returns the current configuration.
     #[must_use]
     pub fn config(&self) -> Arc<Config> {
         Arc::clone(&self.config)
     }
 
-    /// Version of the configuration in force; 0 before the first accepted set.
+    /// Returns the current version; 0 before the first accepted change set.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.config.version
     }
 
-    /// Decides the change set that stands at `offset` of the stream.
+    /// Accepts or rejects the change set at `offset` of the stream.
     ///
-    /// An accepted set makes version `offset + 1`. A set without an identifier
-    /// must have been sorted out before.
+    /// An accepted set creates version `offset + 1`. The caller must have filtered out sets
+    /// without an identifier.
     pub fn decide(&mut self, offset: u64, set: &wire::ChangeSet) -> SetFate {
         let id: Arc<str> = Arc::from(set.id.as_str());
-        if self.sets.contains(&id) {
+        if self.decided.contains(&id) {
             return self.fate(id, Verdict::Duplicate, Vec::new());
         }
-        self.sets.insert(Arc::clone(&id));
+        self.decided.insert(Arc::clone(&id));
         let version = offset.saturating_add(1);
         match plan(&self.config, version, &set.changes) {
             Ok(edits) => {
@@ -61,7 +61,7 @@
     }
 
     fn commit(&mut self, version: u64, edits: Edits) -> Vec<Event> {
-        // Copies only if a process still uses the version before.
+        // Clones the configuration only if the previous version is still referenced.
         let config = Arc::make_mut(&mut self.config);
         let mut events = Vec::with_capacity(edits.len());
         for ((kind, name), edit) in edits {
--- a/crates/resource/src/kind.rs
+++ b/crates/resource/src/kind.rs
@@ -5,17 +5,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Kind of a resource, as the operator interface spells it.
+/// Kind of a resource; serialized as in the operator interface.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A unit that prepays and is charged.
+    /// A tenant that prepays for tokens and is charged for requests.
     Workspace,
     /// A prepaid amount of tokens.
     Budget,
-    /// An amount added to a budget, once.
+    /// A one-time credit to a budget.
     TopUp,
-    /// A priority class with its price.
+    /// A priority class and its price.
     Class,
     /// A set of backend servers that serve the same model or service.
     Pool,
@@ -23,16 +23,16 @@
     Server,
     /// An API key of a workspace.
     Key,
-    /// The statement that a VM is gone for good.
+    /// An operator's declaration that a VM is permanently removed.
     Retirement,
 }
 
-/// A text that names no kind of resource.
+/// Error of parsing a [`Kind`]: the text is not the name of a kind.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct UnknownKind;
 
 impl Kind {
-    /// Every kind, in an order in which references point backwards only.
+    /// All kinds in dependency order: a kind refers only to kinds before it.
     pub const ALL: [Self; 8] = [
         Self::Budget,
         Self::TopUp,
@@ -44,7 +44,7 @@
         Self::Retirement,
     ];
 
-    /// The kind as the operator interface spells it.
+    /// Returns the name of the kind in the operator interface.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/resource/src/plan.rs
+++ b/crates/resource/src/plan.rs
@@ -1,4 +1,4 @@
-//! Judges a change set against the configuration before any of it is applied.
+//! Checks a change set against the configuration before any of it is applied.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,13 +8,16 @@
 use crate::validate::{invalid, parse};
 use crate::{Config, Kind, Reject, RejectReason, Resource, Spec};
 
-/// What the accepted changes of a set will do, by resource; `None` deletes.
+/// Edits that an accepted set makes, by resource; `None` deletes the resource.
 pub(crate) type Edits = BTreeMap<(Kind, Arc<str>), Option<Resource>>;
 
-/// Judges the changes of one set as a whole.
+/// Checks the changes of one set as a unit.
 ///
-/// References are judged against the configuration as it would be after the
-/// whole set, so that a set may declare a resource and what it needs in any order.
+/// References are checked against the configuration that the whole set would produce, so a set
+/// may declare a resource and its dependencies in any order.
+///
+/// # Errors
+/// Returns every reason to reject the set.
 pub(crate) fn plan(
     config: &Config,
     version: u64,
@@ -44,6 +47,7 @@
     }
 }
 
+/// Collects the edits of a set and the reasons to reject it.
 struct Planner<'a> {
     config: &'a Config,
     version: u64,
@@ -119,21 +123,21 @@
     }
 
     fn check_references(&mut self) {
-        let mut found = Vec::new();
+        let mut rejects = Vec::new();
         for ((kind, name), edit) in &self.edits {
             let reasons = match edit {
-                Some(resource) => self.missing(&resource.spec),
-                None => self.users(*kind, name),
+                Some(resource) => self.missing_references(&resource.spec),
+                None => self.remaining_users(*kind, name),
             };
             for reason in reasons {
-                found.push(reject(kind.as_str(), name, reason));
+                rejects.push(reject(kind.as_str(), name, reason));
             }
         }
-        self.rejects.append(&mut found);
+        self.rejects.append(&mut rejects);
     }
 
-    /// What a resource needs and will not find.
-    fn missing(&self, spec: &Spec) -> Vec<RejectReason> {
+    /// Returns a reason for each reference of `spec` that the set would leave dangling.
+    fn missing_references(&self, spec: &Spec) -> Vec<RejectReason> {
         let mut reasons = Vec::new();
         for (kind, name) in spec.references() {
             if self.will_exist(kind, name) {
@@ -145,11 +149,11 @@
         reasons
     }
 
-    /// The first resource that will still need a deleted one.
-    fn users(&self, kind: Kind, name: &str) -> Vec<RejectReason> {
+    /// Returns the first resource that would still refer to a deleted one.
+    fn remaining_users(&self, kind: Kind, name: &str) -> Vec<RejectReason> {
         for user_kind in Kind::ALL {
             for (user_name, user) in self.config.list(user_kind) {
-                // A resource that the set changes is judged by its new specification.
+                // A resource that the set changes is checked with its new specification.
                 if self.edits.contains_key(&(user_kind, Arc::clone(user_name))) {
                     continue;
                 }
@@ -170,30 +174,31 @@
         }
     }
 
-    /// Two keys of one secret would make it unclear which workspace pays.
+    /// Rejects duplicate key hashes: with two keys of one secret, the workspace to charge would
+    /// be ambiguous.
     fn check_hashes(&mut self) {
-        let mut taken = BTreeMap::new();
-        let mut found = Vec::new();
+        let mut owners = BTreeMap::new();
+        let mut rejects = Vec::new();
         for ((kind, name), edit) in &self.edits {
             let Some(Spec::Key(key)) = edit.as_ref().map(|resource| &resource.spec) else {
                 continue;
             };
-            let other = match taken.insert(key.hash, Arc::clone(name)) {
+            let other = match owners.insert(key.hash, Arc::clone(name)) {
                 Some(other) => Some(other),
-                None => self.kept_owner(&key.hash),
+                None => self.unchanged_owner(&key.hash),
             };
             if let Some(other) = other {
                 let reason = invalid("hash", format!("is the hash of key {other} already"));
-                found.push(reject(kind.as_str(), name, reason));
+                rejects.push(reject(kind.as_str(), name, reason));
             }
         }
-        self.rejects.append(&mut found);
+        self.rejects.append(&mut rejects);
     }
 
-    /// The key that has this hash now and that the set leaves alone.
-    fn kept_owner(&self, hash: &crate::KeyHash) -> Option<Arc<str>> {
-        let owner: Arc<str> = Arc::from(self.config.key_named(hash)?.as_str());
-        let touched = self.edits.contains_key(&(Kind::Key, Arc::clone(&owner)));
-        (!touched).then_some(owner)
+    /// Returns the key that has this hash now, unless the set changes that key.
+    fn unchanged_owner(&self, hash: &crate::KeyHash) -> Option<Arc<str>> {
+        let owner: Arc<str> = Arc::from(self.config.key_name_by_hash(hash)?.as_str());
+        let changed = self.edits.contains_key(&(Kind::Key, Arc::clone(&owner)));
+        (!changed).then_some(owner)
     }
 }
--- a/crates/resource/src/snapshot.rs
+++ b/crates/resource/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot of the fold's state as bytes, equal for equal states.
+//! Encodes the state of the fold as a snapshot. Equal states have equal bytes.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 use prost::Message;
 use swiftlink_wire::log as wire;
 
-use crate::sets::Sets;
-use crate::validate::read;
+use crate::dedup::DecidedSets;
+use crate::validate::parse_stored;
 use crate::{Config, Fold, Kind, Resource};
 
-/// Kind of the entry that carries the version of the configuration as a whole.
-/// Deleting a resource raises that version, so no resource need have it.
+/// Kind of the entry that holds the version of the configuration. It can't be derived from the
+/// resources: a deletion raises the version too, so possibly no resource has it.
 const STATE_KIND: &str = "";
 
 pub(crate) fn encode(fold: &Fold) -> Vec<u8> {
     let mut state = wire::ResourceState {
         items: vec![state_entry(fold.version())],
-        set_ids: fold.sets.iter().map(|id| id.to_string()).collect(),
+        set_ids: fold.decided.iter().map(|id| id.to_string()).collect(),
     };
     for kind in Kind::ALL {
         for (name, resource) in fold.config.list(kind) {
@@ -42,12 +42,12 @@
         }
         put(&mut config, entry).with_context(|| format!("{}/{}", entry.kind, entry.name))?;
     }
-    let mut sets = Sets::default();
+    let mut decided = DecidedSets::default();
     for id in state.set_ids {
-        sets.insert(Arc::from(id));
+        decided.insert(Arc::from(id));
     }
     let config = Arc::new(config);
-    Ok(Fold { config, sets })
+    Ok(Fold { config, decided })
 }
 
 fn state_entry(version: u64) -> wire::ResourceEntry {
@@ -60,7 +60,7 @@
 
 fn put(config: &mut Config, entry: &wire::ResourceEntry) -> anyhow::Result<()> {
     let kind: Kind = entry.kind.parse()?;
-    let spec = read(kind, &entry.spec).map_err(|reason| anyhow!("{reason:?}"))?;
+    let spec = parse_stored(kind, &entry.spec).map_err(|reason| anyhow!("{reason:?}"))?;
     ensure!(entry.version > 0, "no version");
     let resource = Resource {
         version: entry.version,
--- a/crates/resource/src/spec.rs
+++ b/crates/resource/src/spec.rs
@@ -1,4 +1,4 @@
-//! Typed specifications of the resources, as JSON on the log.
+//! Typed specifications of the resources; the log stores them as JSON.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,65 +11,65 @@
 
 use crate::Kind;
 
-/// A unit that prepays and is charged.
+/// A tenant that prepays for tokens and is charged for requests.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Budget that its requests draw on.
+    /// Budget that its requests are charged to.
     pub budget: BudgetName,
-    /// Priority classes it may use; empty means all.
+    /// Priority classes that it may use; empty allows all.
     #[serde(default)]
     pub classes: Vec<ClassName>,
-    /// What a router does for it when its configuration may be stale.
+    /// How a router treats its requests while the configuration may be stale.
     #[serde(default)]
     pub stale: StaleRule,
 }
 
-/// What a router does for a workspace when its configuration may be stale.
+/// How a router treats requests of a workspace while the configuration may be stale.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StaleRule {
     /// Refuse new requests.
     #[default]
     Refuse,
-    /// Serve by the configuration in force.
+    /// Serve with the current configuration.
     Serve,
 }
 
-/// A prepaid amount of tokens; its top-ups give the amount.
+/// A prepaid amount of tokens: the sum of its top-ups.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// What must be known before a vanished router's grants are released.
+    /// Evidence required before the grants of a lost router are released.
     #[serde(default)]
     pub release: ReleaseRule,
-    /// Seconds of expected demand that a router claims ahead. The default carries a
-    /// router through a log outage of ten minutes (docs/design/grants.md).
+    /// Expected demand that a router claims in advance (seconds). The default lets a router
+    /// serve through a log outage of ten minutes (docs/design/grants.md).
     #[serde(default = "default_ahead")]
     pub ahead_secs: u32,
-    /// Least amount that a router claims at a time (tokens).
+    /// Minimum amount of one claim of a router (tokens).
     #[serde(default)]
     pub min_grant: Tokens,
 }
 
-/// What must be known before a vanished router's grants are released.
+/// Evidence required before the grants of a lost router are released.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReleaseRule {
-    /// A proof that the process is gone.
+    /// A proof that the process has terminated.
     #[default]
     Proof,
-    /// That its VM has left the VM list.
+    /// The VM is absent from the VM list.
     Listed,
 }
 
-/// An amount added to a budget, once. It can't be changed or deleted.
+/// A one-time credit to a budget. It can't be changed or deleted.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TopUp {
-    /// Budget that gets the amount.
+    /// Budget that is credited.
     pub budget: BudgetName,
-    /// Tokens added.
+    /// Amount credited (tokens).
     pub amount: Tokens,
 }
 
@@ -77,13 +77,13 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Budget tokens per thousand tokens run.
+    /// Tokens charged to the budget per thousand tokens processed.
     #[serde(default = "default_price")]
     pub price: u32,
-    /// Share of service under load; a higher weight is served more.
+    /// Relative share of service under load.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most requests of the class that wait in one router.
+    /// Maximum number of waiting requests of the class in one router.
     #[serde(default = "default_queue")]
     pub queue: u32,
 }
@@ -92,29 +92,29 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What its servers speak.
+    /// Protocol of its servers.
     pub kind: PoolKind,
-    /// Largest answer of a model request (tokens).
+    /// Maximum response length of a model request (tokens).
     #[serde(default = "default_max_tokens")]
     pub max_tokens: Tokens,
-    /// Least prompt bytes that make one token; bounds a prompt's cost from above.
+    /// Minimum number of prompt bytes per token; gives the upper bound of a prompt's cost.
     #[serde(default = "default_token_bytes")]
     pub token_bytes: u32,
-    /// Tokens that one service call costs.
+    /// Cost of one service call (tokens).
     #[serde(default)]
     pub call_tokens: Tokens,
-    /// Service methods that may not be repeated.
+    /// HTTP methods of services that must not be retried.
     #[serde(default = "default_once")]
     pub once: Vec<String>,
 }
 
-/// What the servers of a pool speak.
+/// Protocol of the servers of a pool.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PoolKind {
     /// Model runners.
     Model,
-    /// Plain services.
+    /// Other HTTP services.
     Service,
 }
 
@@ -122,19 +122,19 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Pool that it belongs to.
+    /// Pool of the server.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: DomainName,
-    /// VM that it runs on, if the VM list shows it.
+    /// VM that it runs on, if that VM is in the VM list.
     #[serde(default)]
     pub vm: Option<VmName>,
-    /// Requests that it runs at a time.
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it is leaving and gets no new work.
+    /// Whether it is draining: it gets no new requests.
     #[serde(default)]
     pub drain: bool,
 }
@@ -143,27 +143,28 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Workspace that it speaks for.
+    /// Workspace that it authenticates.
     pub workspace: WorkspaceName,
-    /// SHA-256 of the secret.
+    /// SHA-256 hash of the secret.
     pub hash: KeyHash,
-    /// Whether it is refused.
+    /// Whether requests with this key are refused.
     #[serde(default)]
     pub disabled: bool,
 }
 
-/// The statement that the VM of this name is gone for good, powered off or erased.
+/// An operator's declaration that the VM of this name is permanently removed (powered off or
+/// erased).
 ///
-/// It takes the place of a proof: the rights of the VM's routers are released by it.
+/// It replaces a proof of termination: the quota of the VM's routers is released.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retirement {
-    /// How the operator knows, for those who read it later.
+    /// How the operator knows; kept for audits.
     #[serde(default)]
     pub reason: String,
 }
 
-/// SHA-256 of a key's secret; 64 hexadecimal characters in JSON.
+/// SHA-256 hash of a key's secret; 64 hexadecimal characters in JSON.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash(pub [u8; 32]);
 
@@ -192,26 +193,26 @@
 /// The specification of a resource of any kind.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Spec {
-    /// Of a workspace.
+    /// Specification of a workspace.
     Workspace(Arc<Workspace>),
-    /// Of a budget.
+    /// Specification of a budget.
     Budget(Arc<Budget>),
-    /// Of a top-up.
+    /// Specification of a top-up.
     TopUp(Arc<TopUp>),
-    /// Of a priority class.
+    /// Specification of a priority class.
     Class(Arc<Class>),
-    /// Of a pool.
+    /// Specification of a pool.
     Pool(Arc<Pool>),
-    /// Of a backend server.
+    /// Specification of a backend server.
     Server(Arc<Server>),
-    /// Of an API key.
+    /// Specification of an API key.
     Key(Arc<Key>),
-    /// Of the retirement of a VM.
+    /// Specification of the retirement of a VM.
     Retirement(Arc<Retirement>),
 }
 
 impl Spec {
-    /// Kind of the resource.
+    /// Returns the kind of the resource.
     #[must_use]
     pub fn kind(&self) -> Kind {
         match self {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// The specification as JSON with every default spelled out.
+    /// Serializes the specification as JSON, defaults included.
     #[must_use]
     pub fn to_json(&self) -> String {
         let json = match self {
@@ -242,7 +243,7 @@
         json.expect("specifications hold only strings, numbers and lists")
     }
 
-    /// Names of the resources that this one needs.
+    /// Returns kind and name of each resource that this one refers to.
     #[must_use]
     pub fn references(&self) -> Vec<(Kind, &str)> {
         match self {
--- a/crates/resource/src/validate.rs
+++ b/crates/resource/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of one specification on its own: syntax, ranges, names.
+//! Checks of a single specification: syntax, ranges and names.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,54 +7,55 @@
 
 use crate::{Class, Kind, Pool, PoolKind, RejectReason, Retirement, Server, Spec, Workspace};
 
-/// Longest name of a resource (bytes).
-const NAME_MAX: usize = 128;
-/// Largest weight of a priority class.
-const WEIGHT_MAX: u32 = 1_000;
-/// Largest price of a priority class (thousandths).
-const PRICE_MAX: u32 = 1_000_000;
-/// Longest queue of a priority class.
-const QUEUE_MAX: u32 = 65_536;
-/// Most slots of a backend server.
-const SLOTS_MAX: u32 = 65_536;
-/// Longest demand that a router may claim ahead (s).
-const AHEAD_MAX: u32 = 3_600;
-/// Most bytes that may count as one token.
-const TOKEN_BYTES_MAX: u32 = 64;
-/// Longest reason of a retirement (bytes).
-const REASON_MAX: usize = 512;
+/// Maximum length of a resource name.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum weight of a priority class.
+const MAX_WEIGHT: u32 = 1_000;
+/// Maximum price of a priority class (thousandths of a token per token).
+const MAX_PRICE: u32 = 1_000_000;
+/// Maximum queue length of a priority class (requests).
+const MAX_QUEUE: u32 = 65_536;
+/// Maximum concurrency of a backend server.
+const MAX_SLOTS: u32 = 65_536;
+/// Maximum demand that a router may claim in advance.
+const MAX_AHEAD_SECS: u32 = 3_600;
+/// Maximum number of prompt bytes that may count as one token.
+const MAX_TOKEN_BYTES: u32 = 64;
+/// Maximum length of the reason of a retirement.
+const MAX_REASON_BYTES: usize = 512;
 
 /// Parses and checks the specification of a resource.
 pub(crate) fn parse(kind: Kind, name: &str, json: &str) -> Result<Spec, RejectReason> {
-    let spec = read(kind, json)?;
-    check_name(name, may_have_path(&spec))?;
+    let spec = parse_stored(kind, json)?;
+    check_name(name, allows_path(&spec))?;
     check(&spec)?;
     Ok(spec)
 }
 
-/// Parses a specification that was checked when it was accepted.
-pub(crate) fn read(kind: Kind, json: &str) -> Result<Spec, RejectReason> {
+/// Parses a specification without checking its name and ranges, which were checked when it
+/// was accepted.
+pub(crate) fn parse_stored(kind: Kind, json: &str) -> Result<Spec, RejectReason> {
     Ok(match kind {
-        Kind::Workspace => Spec::Workspace(typed(json)?),
-        Kind::Budget => Spec::Budget(typed(json)?),
-        Kind::TopUp => Spec::TopUp(typed(json)?),
-        Kind::Class => Spec::Class(typed(json)?),
-        Kind::Pool => Spec::Pool(typed(json)?),
-        Kind::Server => Spec::Server(typed(json)?),
-        Kind::Key => Spec::Key(typed(json)?),
-        Kind::Retirement => Spec::Retirement(typed(json)?),
+        Kind::Workspace => Spec::Workspace(from_json(json)?),
+        Kind::Budget => Spec::Budget(from_json(json)?),
+        Kind::TopUp => Spec::TopUp(from_json(json)?),
+        Kind::Class => Spec::Class(from_json(json)?),
+        Kind::Pool => Spec::Pool(from_json(json)?),
+        Kind::Server => Spec::Server(from_json(json)?),
+        Kind::Key => Spec::Key(from_json(json)?),
+        Kind::Retirement => Spec::Retirement(from_json(json)?),
     })
 }
 
-fn typed<T: DeserializeOwned>(json: &str) -> Result<Arc<T>, RejectReason> {
+fn from_json<T: DeserializeOwned>(json: &str) -> Result<Arc<T>, RejectReason> {
     let mut reader = serde_json::Deserializer::from_str(json);
     let spec = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         let detail = error.inner().to_string();
         let path = error.path().to_string();
-        // The whole has the path "."; text that ends too early has none, or "?".
-        let whole = path == "." || path.contains('?');
-        let field = if whole {
-            quoted(&detail).to_owned()
+        // The path of the root is "."; truncated text has an empty path or a "?" in it.
+        let is_root = path == "." || path.contains('?');
+        let field = if is_root {
+            field_in_message(&detail).to_owned()
         } else {
             path
         };
@@ -66,8 +67,8 @@
     Ok(Arc::new(spec))
 }
 
-/// The field that a message such as "missing field `pool`" names.
-fn quoted(detail: &str) -> &str {
+/// Returns the field that a message such as "missing field `pool`" names.
+fn field_in_message(detail: &str) -> &str {
     detail.split('`').nth(1).unwrap_or("spec")
 }
 
@@ -78,16 +79,17 @@
     }
 }
 
-/// Model names are often written as paths; other names become parts of URLs.
-fn may_have_path(spec: &Spec) -> bool {
+/// Whether a name may contain `/` and `:`. Model names are often paths; other names become
+/// segments of URLs.
+fn allows_path(spec: &Spec) -> bool {
     matches!(spec, Spec::Pool(pool) if pool.kind == PoolKind::Model)
 }
 
 fn check_name(name: &str, path: bool) -> Result<(), RejectReason> {
-    if name.is_empty() || name.len() > NAME_MAX {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return Err(invalid(
             "name",
-            format!("must have 1 to {NAME_MAX} characters"),
+            format!("must have 1 to {MAX_NAME_BYTES} characters"),
         ));
     }
     for c in name.chars() {
@@ -103,7 +105,7 @@
 fn check(spec: &Spec) -> Result<(), RejectReason> {
     match spec {
         Spec::Workspace(spec) => check_workspace(spec),
-        Spec::Budget(spec) => check_range("ahead_secs", spec.ahead_secs, 0, AHEAD_MAX),
+        Spec::Budget(spec) => check_range("ahead_secs", spec.ahead_secs, 0, MAX_AHEAD_SECS),
         Spec::TopUp(spec) if spec.amount == 0 => Err(invalid("amount", "must be at least 1")),
         Spec::TopUp(_) | Spec::Key(_) => Ok(()),
         Spec::Class(spec) => check_class(spec),
@@ -113,13 +115,13 @@
     }
 }
 
-fn check_range(field: &str, value: u32, least: u32, most: u32) -> Result<(), RejectReason> {
-    if (least..=most).contains(&value) {
+fn check_range(field: &str, value: u32, min: u32, max: u32) -> Result<(), RejectReason> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
     Err(invalid(
         field,
-        format!("must be {least} to {most}, not {value}"),
+        format!("must be {min} to {max}, not {value}"),
     ))
 }
 
@@ -133,16 +135,16 @@
 }
 
 fn check_class(spec: &Class) -> Result<(), RejectReason> {
-    check_range("price", spec.price, 1, PRICE_MAX)?;
-    check_range("weight", spec.weight, 1, WEIGHT_MAX)?;
-    check_range("queue", spec.queue, 0, QUEUE_MAX)
+    check_range("price", spec.price, 1, MAX_PRICE)?;
+    check_range("weight", spec.weight, 1, MAX_WEIGHT)?;
+    check_range("queue", spec.queue, 0, MAX_QUEUE)
 }
 
 fn check_pool(spec: &Pool) -> Result<(), RejectReason> {
     if spec.max_tokens == 0 {
         return Err(invalid("max_tokens", "must be at least 1"));
     }
-    check_range("token_bytes", spec.token_bytes, 1, TOKEN_BYTES_MAX)?;
+    check_range("token_bytes", spec.token_bytes, 1, MAX_TOKEN_BYTES)?;
     for method in &spec.once {
         if method.is_empty() || !method.bytes().all(|byte| byte.is_ascii_uppercase()) {
             return Err(invalid(
@@ -162,14 +164,14 @@
     if spec.vm.as_ref().is_some_and(|vm| vm.as_str().is_empty()) {
         return Err(invalid("vm", "must not be empty"));
     }
-    check_range("slots", spec.slots, 1, SLOTS_MAX)
+    check_range("slots", spec.slots, 1, MAX_SLOTS)
 }
 
 fn check_retirement(spec: &Retirement) -> Result<(), RejectReason> {
-    if spec.reason.len() > REASON_MAX {
+    if spec.reason.len() > MAX_REASON_BYTES {
         return Err(invalid(
             "reason",
-            format!("must have at most {REASON_MAX} bytes"),
+            format!("must have at most {MAX_REASON_BYTES} bytes"),
         ));
     }
     Ok(())
--- a/crates/resource/src/verdict.rs
+++ b/crates/resource/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What became of a change set.
+//! Outcomes of change sets.
 
 use std::sync::Arc;
 
@@ -6,77 +6,77 @@
 
 use crate::Kind;
 
-/// What became of one change set.
+/// Outcome of a change set.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SetFate {
-    /// Identifier that the writer chose.
+    /// Identifier chosen by the writer.
     pub id: Arc<str>,
-    /// Version of the configuration after the set.
+    /// Configuration version after the set.
     pub version: u64,
     /// The decision.
     pub verdict: Verdict,
-    /// What changed; empty unless accepted.
+    /// Changes made; empty unless accepted.
     pub events: Vec<Event>,
 }
 
-/// The decision on a change set.
+/// Decision on a change set.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Verdict {
-    /// All changes are in force.
+    /// All changes were applied.
     Accepted,
-    /// A set with this identifier was decided before; this copy changes nothing.
+    /// A set with this identifier was decided before; the duplicate has no effect.
     Duplicate,
-    /// Nothing changed, for each of these reasons.
+    /// No change was applied; the reasons are listed.
     Rejected(Vec<Reject>),
 }
 
-/// Why one change keeps its set from being accepted.
+/// A change that caused its set to be rejected.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Reject {
-    /// Kind as the change spells it.
+    /// Kind as written in the change.
     pub kind: String,
     /// Name of the resource.
     pub name: String,
-    /// Why.
+    /// Reason of the rejection.
     pub reason: RejectReason,
 }
 
-/// Why a change is not acceptable.
+/// Reason to reject a change.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum RejectReason {
-    /// The resource has another version than the change was made from.
+    /// The current version differs from the change's base version.
     Conflict {
-        /// Its version now; 0 when it does not exist.
+        /// Current version; 0 if the resource does not exist.
         current: u64,
     },
-    /// The change or its specification breaks a rule.
+    /// The change or its specification is invalid.
     Invalid {
-        /// Field at fault.
+        /// Invalid field.
         field: String,
-        /// What is wrong with it.
+        /// Description of the error.
         detail: String,
     },
-    /// The change needs a resource that does not exist.
+    /// The change refers to a resource that does not exist.
     Missing {
         /// Kind of the missing resource.
         kind: Kind,
-        /// Its name.
+        /// Name of the missing resource.
         name: String,
     },
-    /// The resource can't be deleted while another needs it.
+    /// The resource can't be deleted while another refers to it.
     InUse {
-        /// The resource that needs it, as `kind/name`.
+        /// Resource that refers to it, as `kind/name`.
         by: String,
     },
     /// Resources of this kind can't be changed or deleted.
     Immutable,
 }
 
-/// One change in force.
+/// An applied change of a resource.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Event {
-    /// Version that the change made.
+    /// Version created by the change.
     pub version: u64,
     /// Kind of the resource.
     pub kind: Kind,
--- a/crates/resource/tests/common/mod.rs
+++ b/crates/resource/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Builders of change sets and a small valid configuration.
-#![allow(dead_code, reason = "each test binary uses a part")]
+#![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use prost::Message;
 use swiftlink_log::{Fold as _, Step};
@@ -43,8 +43,8 @@
     }
 }
 
-/// One of each kind, at offset 9: every version is 10.
-pub fn start() -> Fold {
+/// A fold with one resource of each kind, declared at offset 9: every version is 10.
+pub fn sample_fold() -> Fold {
     let mut fold = Fold::empty();
     let key = format!(r#"{{"workspace":"w","hash":"{HASH}"}}"#);
     let changes = vec![
@@ -67,8 +67,8 @@
     fold
 }
 
-/// The reasons for which the one change is refused at offset 20.
-pub fn refused(fold: &mut Fold, change: wire::Change) -> Vec<RejectReason> {
+/// Applies one change at offset 20, which must be rejected, and returns the reasons.
+pub fn reject_reasons(fold: &mut Fold, change: wire::Change) -> Vec<RejectReason> {
     let version = fold.version();
     let before = fold.config();
     let id = format!("{change:?}");
--- a/crates/resource/tests/properties.rs
+++ b/crates/resource/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over any history of change sets.
+//! Property tests over random histories of change sets.
 
 mod common;
 
@@ -12,28 +12,31 @@
 use swiftlink_resource::{Fold, Kind, SetFate, Verdict};
 use swiftlink_wire::log as wire;
 
-/// A change in a small world; its base is settled when the history runs.
+/// A change of one of a few resources; its base is set when the history runs.
 #[derive(Clone, Debug)]
-struct Plan {
+struct PlannedChange {
     change: wire::Change,
-    /// Made from the version in force, else from the one that the change says.
-    fresh: bool,
+    /// Whether the change is based on the current version instead of its own random base.
+    is_current: bool,
 }
 
-/// A set and, sometimes, an earlier set whose copy stands in its place.
+/// A set; with `copy_of`, a duplicate of that earlier set is written instead.
 #[derive(Clone, Debug)]
 struct Entry {
-    plans: Vec<Plan>,
+    plans: Vec<PlannedChange>,
     copy_of: Option<usize>,
 }
 
-fn spec(kind: Kind, pick: u8) -> String {
-    let (name, n) = (pick % 2, pick % 5);
+fn spec(kind: Kind, variant: u8) -> String {
+    let (name, n) = (variant % 2, variant % 5);
     match kind {
         Kind::Budget => format!(r#"{{"ahead_secs":{n}}}"#),
         Kind::TopUp => format!(r#"{{"budget":"n{name}","amount":{n}}}"#),
         Kind::Class => format!(r#"{{"weight":{n}}}"#),
-        Kind::Workspace => format!(r#"{{"budget":"n{name}","classes":["n{}"]}}"#, pick / 2 % 2),
+        Kind::Workspace => format!(
+            r#"{{"budget":"n{name}","classes":["n{}"]}}"#,
+            variant / 2 % 2
+        ),
         Kind::Key => format!(
             r#"{{"workspace":"n{name}","hash":"{}"}}"#,
             format!("{n:02x}").repeat(32)
@@ -44,20 +47,20 @@
     }
 }
 
-fn plan() -> impl Strategy<Value = Plan> {
+fn plan() -> impl Strategy<Value = PlannedChange> {
     let kind = (0..Kind::ALL.len()).prop_map(|at| Kind::ALL[at]);
     let flags = (
         proptest::bool::weighted(0.25),
         proptest::bool::weighted(0.8),
     );
-    (kind, 0..2_u8, any::<u8>(), flags, 0..30_u64).prop_map(|(kind, name, pick, flags, base)| {
-        let (drop, fresh) = flags;
+    (kind, 0..2_u8, any::<u8>(), flags, 0..30_u64).prop_map(|(kind, name, variant, flags, base)| {
+        let (is_delete, is_current) = flags;
         let name = format!("n{name}");
-        let change = match drop {
+        let change = match is_delete {
             true => delete(kind.as_str(), &name, base),
-            false => put(kind.as_str(), &name, base, &spec(kind, pick)),
+            false => put(kind.as_str(), &name, base, &spec(kind, variant)),
         };
-        Plan { change, fresh }
+        PlannedChange { change, is_current }
     })
 }
 
@@ -67,27 +70,27 @@
     vec(entry, 1..40)
 }
 
-/// The sets of a history, and what one fold made of them.
-fn run(history: &[Entry], mut each: impl FnMut(u64, &[u8], &wire::ChangeSet, &SetFate, &Fold)) {
+/// Folds the sets of a history and passes each with its fate to `visit`.
+fn run(history: &[Entry], mut visit: impl FnMut(u64, &[u8], &wire::ChangeSet, &SetFate, &Fold)) {
     let mut fold = Fold::empty();
     let mut sets: Vec<wire::ChangeSet> = Vec::new();
     for (index, entry) in history.iter().enumerate() {
         let copied = entry.copy_of.and_then(|at| sets.get(at).cloned());
-        let set = copied.unwrap_or_else(|| settle(&fold, index, &entry.plans));
-        // Other records of the stream stand between: versions are not counts.
+        let set = copied.unwrap_or_else(|| resolve_bases(&fold, index, &entry.plans));
+        // Offsets skip other records of the stream: a version isn't a number of sets.
         let offset = index as u64 * 3;
         let data = prost::Message::encode_to_vec(&set);
         let fate = fold.decide(offset, &set);
-        each(offset, &data, &set, &fate, &fold);
+        visit(offset, &data, &set, &fate, &fold);
         sets.push(set);
     }
 }
 
-fn settle(fold: &Fold, index: usize, plans: &[Plan]) -> wire::ChangeSet {
+fn resolve_bases(fold: &Fold, index: usize, plans: &[PlannedChange]) -> wire::ChangeSet {
     let mut changes = Vec::new();
     for plan in plans {
         let mut change = plan.change.clone();
-        if plan.fresh {
+        if plan.is_current {
             let kind = change.kind.parse().expect("a kind");
             change.base = fold
                 .config()
@@ -103,12 +106,12 @@
     }
 }
 
-/// What must hold of the states and fates of one history.
+/// Checks the invariants of the states and fates of one history.
 #[derive(Default)]
 struct Checker {
     version: u64,
     decided: BTreeSet<String>,
-    /// Bases from which a change was accepted.
+    /// Resource and base version of each accepted change.
     bases: BTreeSet<(String, String, u64)>,
     versions: BTreeMap<(String, String), u64>,
 }
@@ -122,29 +125,29 @@
         fold: &Fold,
     ) -> Result<(), String> {
         let ensure = |truth: bool, what: &str| truth.then_some(()).ok_or(what.to_owned());
-        let fresh = self.decided.insert(set.id.clone());
+        let is_new = self.decided.insert(set.id.clone());
         ensure(
-            fresh == (fate.verdict != Verdict::Duplicate),
-            "a copy was decided, or a set was not",
+            is_new == (fate.verdict != Verdict::Duplicate),
+            "a duplicate was decided, or a set was not",
         )?;
         if fate.verdict == Verdict::Accepted {
             self.version = offset + 1;
             ensure(
                 fate.events.len() == set.changes.len(),
-                "a set was taken in part",
+                "a set was applied partially",
             )?;
             for change in &set.changes {
                 let at = (change.kind.clone(), change.name.clone());
                 let current = self.versions.remove(&at).unwrap_or(0);
                 ensure(
                     change.base == current,
-                    "a change was taken from an old version",
+                    "a change based on an old version was accepted",
                 )?;
                 if current > 0 {
                     let base = (at.0.clone(), at.1.clone(), current);
                     ensure(
                         self.bases.insert(base),
-                        "two changes of one version were taken",
+                        "two changes based on one version were accepted",
                     )?;
                 }
                 if !change.delete {
@@ -152,9 +155,9 @@
                 }
             }
         } else {
-            ensure(fate.events.is_empty(), "a refused set made events")?;
+            ensure(fate.events.is_empty(), "a rejected set produced events")?;
         }
-        ensure(fold.version() == self.version, "the version went astray")?;
+        ensure(fold.version() == self.version, "the version is wrong")?;
         self.check_state(fold)
     }
 
@@ -184,17 +187,17 @@
         });
         let retired = config.list(Kind::Retirement);
         let known = retired.filter(|(name, _)| config.is_retired(name)).count();
-        let whole = found.count() == config.keys.len()
+        let is_complete = found.count() == config.keys.len()
             && members == config.servers.len()
             && known == config.retirements.len()
             && known == config.list(Kind::Retirement).count();
-        whole
+        is_complete
             .then_some(())
-            .ok_or("an index lost a key, a server or a retirement".to_owned())
+            .ok_or("a key, a server or a retirement is missing from an index".to_owned())
     }
 }
 
-fn failure(
+fn first_violation(
     history: &[Entry],
     broken: impl Fn(&mut wire::ChangeSet, &mut SetFate),
 ) -> Option<String> {
@@ -213,8 +216,8 @@
     #![proptest_config(Config::with_cases(512))]
 
     #[test]
-    fn only_whole_and_current_sets_are_taken(history in history()) {
-        prop_assert_eq!(failure(&history, |_, _| {}), None);
+    fn accepted_sets_are_complete_and_current(history in history()) {
+        prop_assert_eq!(first_violation(&history, |_, _| {}), None);
     }
 
     #[test]
@@ -236,8 +239,8 @@
     }
 
     #[test]
-    fn any_bytes_are_folded_or_refused(data in vec(any::<u8>(), 0..100), text in ".{0,40}") {
-        let mut fold = start();
+    fn arbitrary_input_does_not_change_the_configuration(data in vec(any::<u8>(), 0..100), text in ".{0,40}") {
+        let mut fold = sample_fold();
         fold.apply(30, &data);
         drop(Fold::decode(&data));
         let mut changes = Vec::new();
@@ -249,23 +252,23 @@
     }
 }
 
-/// The checker must catch a fold that takes copies or stale changes.
+/// The checker must detect a fold that accepts duplicates or stale changes.
 #[test]
-fn the_checker_catches_broken_folds() {
-    let caught = |broken: fn(&mut wire::ChangeSet, &mut SetFate)| {
+fn the_checker_detects_broken_folds() {
+    let detects = |broken: fn(&mut wire::ChangeSet, &mut SetFate)| {
         let config = Config {
             failure_persistence: None,
             ..Config::with_cases(256)
         };
-        let check = |history: Vec<Entry>| match failure(&history, broken) {
+        let check = |history: Vec<Entry>| match first_violation(&history, broken) {
             None => Ok(()),
             Some(what) => Err(TestCaseError::fail(what)),
         };
         TestRunner::new(config).run(&history(), check).is_err()
     };
-    assert!(!caught(|_, _| {}));
-    assert!(caught(|_, fate| fate.verdict = Verdict::Accepted));
-    assert!(caught(|set, _| set.id.clear()));
-    assert!(caught(|set, _| set.changes[0].base += 1));
-    assert!(caught(|_, fate| drop(fate.events.pop())));
+    assert!(!detects(|_, _| {}));
+    assert!(detects(|_, fate| fate.verdict = Verdict::Accepted));
+    assert!(detects(|set, _| set.id.clear()));
+    assert!(detects(|set, _| set.changes[0].base += 1));
+    assert!(detects(|_, fate| drop(fate.events.pop())));
 }
--- a/crates/resource/tests/rules.rs
+++ b/crates/resource/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of the fold by example.
+//! An example for each rule of the fold.
 
 mod common;
 
@@ -7,13 +7,13 @@
 use common::*;
 use swiftlink_log::{Fold as _, Step};
 use swiftlink_resource::{
-    Fold, Kind, PoolKind, RejectReason, ReleaseRule, SET_MEMORY, StaleRule, Verdict,
+    Fold, Kind, MAX_DECIDED_SETS, PoolKind, RejectReason, ReleaseRule, StaleRule, Verdict,
 };
 use swiftlink_wire::log as wire;
 
 #[test]
-fn defaults_are_spelled_out() {
-    let config = start().config();
+fn missing_fields_get_defaults() {
+    let config = sample_fold().config();
     let workspace = &config.workspaces["w"];
     assert_eq!(workspace.stale, StaleRule::Refuse);
     let budget = &config.budgets["b"];
@@ -50,7 +50,7 @@
     );
 }
 
-/// Kind, name, specification and the field at fault.
+/// Kind, name, specification and the invalid field.
 const INVALID: &str = r#"
 shelf n {} kind
 class a+b {} name
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn a_retirement_stands_until_it_is_deleted() {
-    let mut fold = start();
+fn a_retirement_applies_until_it_is_deleted() {
+    let mut fold = sample_fold();
     let shown = |fold: &Fold| {
         let config = fold.config();
         let found = config.get(Kind::Retirement, "vm-9");
@@ -105,12 +105,12 @@
     assert_eq!(fold.config().retirements["vm-9"].reason, "burnt");
     let longest = put("retirement", "vm-8", 0, &reason(512));
     apply(&mut fold, 21, "more", vec![longest]);
-    // A fold loaded from a snapshot knows of it too.
+    // A fold decoded from a snapshot has it too.
     let mut fold = Fold::decode(&fold.encode()).expect("a state");
     assert!(fold.config().is_retired("vm-8") && fold.config().is_retired("vm-9"));
     let stale = delete("retirement", "vm-9", 10);
     assert_eq!(
-        refused(&mut fold, stale),
+        reject_reasons(&mut fold, stale),
         [RejectReason::Conflict { current: 21 }]
     );
     apply(
@@ -124,7 +124,7 @@
 
 #[test]
 fn invalid_specifications_name_the_field() {
-    let mut fold = start();
+    let mut fold = sample_fold();
     let mut changes = vec![
         (put("class", "", 0, "{}"), "name"),
         (put("class", &"n".repeat(129), 0, "{}"), "name"),
@@ -135,7 +135,7 @@
         changes.push((put(words[0], words[1], 0, words[2]), words[3]));
     }
     for (change, expected) in changes {
-        let reasons = refused(&mut fold, change.clone());
+        let reasons = reject_reasons(&mut fold, change.clone());
         let [RejectReason::Invalid { field, .. }] = &reasons[..] else {
             panic!("{change:?}: {reasons:?}");
         };
@@ -146,7 +146,7 @@
     assert_eq!(fate.verdict, Verdict::Accepted);
 }
 
-/// Kind, specification and what it lacks.
+/// Kind, specification and the kind of the missing resource.
 const DANGLING: &str = r#"
 topup {"budget":"x","amount":1} budget
 workspace {"budget":"x"} budget
@@ -157,33 +157,33 @@
 
 #[test]
 fn dangling_references_are_refused() {
-    let mut fold = start();
+    let mut fold = sample_fold();
     for line in DANGLING.trim().lines() {
         let words: Vec<&str> = line.split(' ').collect();
         let kind = words[2].parse().expect("a kind");
         let name = "x".to_owned();
-        let reasons = refused(&mut fold, put(words[0], "n", 0, words[1]));
+        let reasons = reject_reasons(&mut fold, put(words[0], "n", 0, words[1]));
         assert_eq!(reasons, [RejectReason::Missing { kind, name }]);
     }
     let used = "budget b topup/t\nclass c workspace/w\npool p server/s\nworkspace w key/k";
     for line in used.lines() {
         let words: Vec<&str> = line.split(' ').collect();
         let by = words[2].to_owned();
-        let reasons = refused(&mut fold, delete(words[0], words[1], 10));
+        let reasons = reject_reasons(&mut fold, delete(words[0], words[1], 10));
         assert_eq!(reasons, [RejectReason::InUse { by }]);
     }
 }
 
 #[test]
-fn a_set_is_judged_by_what_it_leaves() {
-    let mut fold = start();
+fn references_are_checked_against_the_resulting_configuration() {
+    let mut fold = sample_fold();
     let pair = vec![delete("pool", "p", 10), delete("server", "s", 10)];
     assert_eq!(
         apply(&mut fold, 20, "pair", pair).verdict,
         Verdict::Accepted
     );
     assert!(fold.config().servers_of("p").is_empty());
-    // A workspace that moves off a class frees it; one that moves on to it does not.
+    // A class can be deleted if the set stops using it, but not if the set starts using it.
     let moved = vec![
         delete("class", "c", 10),
         put("workspace", "w", 10, r#"{"budget":"b"}"#),
@@ -196,7 +196,7 @@
     let on = put("workspace", "w", 22, r#"{"budget":"b","classes":["c"]}"#);
     let fate = apply(&mut fold, 23, "on", vec![delete("class", "c", 23), on]);
     let Verdict::Rejected(rejects) = fate.verdict else {
-        panic!("a class was deleted under its user");
+        panic!("a class in use was deleted");
     };
     let missing = RejectReason::Missing {
         kind: Kind::Class,
@@ -206,31 +206,31 @@
 }
 
 #[test]
-fn the_first_of_two_racing_changes_wins() {
-    let mut fold = start();
+fn the_first_of_two_concurrent_changes_wins() {
+    let mut fold = sample_fold();
     let change = |price| put("class", "c", 10, &format!(r#"{{"price":{price}}}"#));
     assert_eq!(apply(&mut fold, 20, "one", vec![change(2)]).version, 21);
     assert_eq!(
-        refused(&mut fold, change(3)),
+        reject_reasons(&mut fold, change(3)),
         [RejectReason::Conflict { current: 21 }]
     );
-    assert_eq!(refused(&mut fold, delete("class", "c", 10)).len(), 1);
+    assert_eq!(reject_reasons(&mut fold, delete("class", "c", 10)).len(), 1);
     let anew = put("class", "c", 0, "{}");
     assert_eq!(
-        refused(&mut fold, anew),
+        reject_reasons(&mut fold, anew),
         [RejectReason::Conflict { current: 21 }]
     );
     let gone = put("class", "gone", 7, "{}");
     assert_eq!(
-        refused(&mut fold, gone),
+        reject_reasons(&mut fold, gone),
         [RejectReason::Conflict { current: 0 }]
     );
     assert_eq!(fold.config().classes["c"].price, 2);
 }
 
 #[test]
-fn all_changes_of_a_set_are_taken_or_none() {
-    let mut fold = start();
+fn change_sets_are_atomic() {
+    let mut fold = sample_fold();
     let set = vec![
         put("class", "d", 0, "{}"),
         put("class", "c", 3, "{}"),
@@ -251,12 +251,12 @@
 }
 
 #[test]
-fn top_ups_stay() {
-    let mut fold = start();
+fn top_ups_are_immutable() {
+    let mut fold = sample_fold();
     let change = put("topup", "t", 10, r#"{"budget":"b","amount":6}"#);
-    assert_eq!(refused(&mut fold, change), [RejectReason::Immutable]);
+    assert_eq!(reject_reasons(&mut fold, change), [RejectReason::Immutable]);
     assert_eq!(
-        refused(&mut fold, delete("topup", "t", 10)),
+        reject_reasons(&mut fold, delete("topup", "t", 10)),
         [RejectReason::Immutable]
     );
     let more = vec![put("topup", "u", 0, r#"{"budget":"b","amount":6}"#)];
@@ -266,8 +266,8 @@
 }
 
 #[test]
-fn copies_of_a_set_fold_to_nothing() {
-    let mut fold = start();
+fn duplicate_sets_are_ignored() {
+    let mut fold = sample_fold();
     let change = || vec![put("class", "d", 0, "{}")];
     apply(&mut fold, 20, "id", change());
     apply(&mut fold, 21, "gone", vec![delete("class", "d", 21)]);
@@ -277,7 +277,7 @@
         (copy.verdict, copy.version, copy.events.len()),
         (Verdict::Duplicate, 22, 0)
     );
-    for n in 0..SET_MEMORY as u64 {
+    for n in 0..MAX_DECIDED_SETS as u64 {
         apply(&mut fold, 23 + n, &n.to_string(), vec![]);
     }
     assert_eq!(
@@ -285,12 +285,12 @@
         Verdict::Accepted
     );
     let state: wire::ResourceState = prost::Message::decode(&*fold.encode()).expect("a state");
-    assert_eq!(state.set_ids.len(), SET_MEMORY);
+    assert_eq!(state.set_ids.len(), MAX_DECIDED_SETS);
 }
 
 #[test]
 fn keys_are_found_by_hash_and_may_swap() {
-    let mut fold = start();
+    let mut fold = sample_fold();
     let hash: [u8; 32] = hex::decode(HASH)
         .expect("hex")
         .try_into()
@@ -331,8 +331,8 @@
 }
 
 #[test]
-fn a_configuration_in_use_never_changes() {
-    let mut fold = start();
+fn published_configurations_are_immutable() {
+    let mut fold = sample_fold();
     let old = fold.config();
     let server = put(
         "server",
@@ -363,8 +363,8 @@
 }
 
 #[test]
-fn snapshots_and_garbage_are_told_apart() {
-    let mut fold = start();
+fn snapshot_chunks_and_malformed_records_are_recognized() {
+    let mut fold = sample_fold();
     let chunk = wire::SnapshotChunk {
         offset: 3,
         ..Default::default()
--- a/src/bin/standin-relay/main.rs
+++ b/src/bin/standin-relay/main.rs
@@ -1,4 +1,4 @@
-//! TCP relay that tests cut and freeze.
+//! TCP relay with which tests cut and freeze connections.
 
 use std::process::ExitCode;
 
--- a/src/bin/swiftlink/cli.rs
+++ b/src/bin/swiftlink/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments that every verb has, and the table of verbs.
+//! Parsing of the command line and dispatch to the commands.
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -10,43 +10,48 @@
 use crate::commands;
 use crate::failure::Failure;
 
-/// One verb of the command line.
-pub struct Verb {
-    /// Name on the command line.
+/// A command of the command line.
+pub struct Command {
+    /// Name of the command.
     pub name: &'static str,
-    /// One line of help.
+    /// Description in the help, one line.
     pub about: &'static str,
-    /// Arguments after the name.
+    /// Synopsis of the arguments.
     pub usage: &'static str,
-    /// Adds the verb's own options.
+    /// Adds the options specific to the command.
     pub options: fn(&mut Options),
-    /// Does the work.
+    /// Runs the command.
     pub run: fn(&Context) -> Result<(), Failure>,
 }
 
-/// What a verb works with.
+/// Input of a command: its arguments and the operator client.
 pub struct Context {
-    /// The verb itself.
-    pub verb: &'static Verb,
-    /// Its parsed arguments.
+    /// The command itself.
+    pub command: &'static Command,
+    /// Parsed arguments of the command.
     pub matches: Matches,
-    /// The operator interface.
+    /// Client of the operator interface.
     pub operator: Operator,
     json: bool,
 }
 
 impl Context {
-    /// The free arguments, which must be between `least` and `most`.
-    pub fn words(&self, least: usize, most: usize) -> Result<Vec<&str>, Failure> {
-        let words: Vec<_> = self.matches.free.iter().map(String::as_str).collect();
-        if words.len() < least || words.len() > most {
-            let detail = format!("usage: swiftlink {} {}", self.verb.name, self.verb.usage);
-            return Err(Failure::usage(self.verb.name, detail));
+    /// Returns the positional arguments.
+    ///
+    /// Fails with a usage error unless there are `min` to `max` of them.
+    pub fn positional(&self, min: usize, max: usize) -> Result<Vec<&str>, Failure> {
+        let arguments: Vec<_> = self.matches.free.iter().map(String::as_str).collect();
+        if arguments.len() < min || arguments.len() > max {
+            let detail = format!(
+                "usage: swiftlink {} {}",
+                self.command.name, self.command.usage
+            );
+            return Err(Failure::usage(self.command.name, detail));
         }
-        Ok(words)
+        Ok(arguments)
     }
 
-    /// A numeric option.
+    /// Returns the value of a numeric option; fails if it isn't a whole number.
     pub fn number(&self, option: &str) -> Result<Option<u64>, Failure> {
         let Some(text) = self.matches.opt_str(option) else {
             return Ok(None);
@@ -55,33 +60,33 @@
             Ok(number) => Ok(Some(number)),
             Err(_error) => {
                 let detail = format!("--{option}: {text:?} is not a whole number");
-                Err(Failure::usage(self.verb.name, detail))
+                Err(Failure::usage(self.command.name, detail))
             }
         }
     }
 
-    /// Prints an answer: as a table, or as JSON with `-o json`.
+    /// Prints a response as a table, or as JSON with `-o json`.
     pub fn print<T: Serialize>(&self, answer: &T, table: fn(&T) -> String) -> Result<(), Failure> {
         if self.json {
-            return out(&format!("{}\n", serde_json::to_string_pretty(answer)?));
+            return write_stdout(&format!("{}\n", serde_json::to_string_pretty(answer)?));
         }
-        out(&table(answer))
+        write_stdout(&table(answer))
     }
 
-    /// Prints one line of an unending answer.
+    /// Prints one item of a stream as a line.
     pub fn print_line<T: Serialize>(
         &self,
         item: &T,
         line: fn(&T) -> String,
     ) -> Result<(), Failure> {
         if self.json {
-            return out(&format!("{}\n", serde_json::to_string(item)?));
+            return write_stdout(&format!("{}\n", serde_json::to_string(item)?));
         }
-        out(&format!("{}\n", line(item)))
+        write_stdout(&format!("{}\n", line(item)))
     }
 }
 
-/// Runs the command line `args`, without the program's name.
+/// Runs the command line `args`, which excludes the program name.
 pub fn run(args: &[String]) -> Result<(), Failure> {
     let mut options = Options::new();
     options.parsing_style(ParsingStyle::StopAtFirstFree);
@@ -96,63 +101,67 @@
     let parsed = options.parse(args);
     let matches = parsed.map_err(|error| Failure::usage("", error.to_string()))?;
     if matches.opt_present("version") {
-        return out(&format!("swiftlink {}\n", env!("CARGO_PKG_VERSION")));
+        return write_stdout(&format!("swiftlink {}\n", env!("CARGO_PKG_VERSION")));
     }
     if matches.opt_present("help") {
-        return out(&help(&options));
+        return write_stdout(&help(&options));
     }
     if matches.opt_present("check") {
         let settings = ClientSettings::resolve(&overrides(&[&matches]))?;
-        return out(&settings.to_string());
+        return write_stdout(&settings.to_string());
     }
     let Some((name, rest)) = matches.free.split_first() else {
         return Err(Failure::usage("", "no command given"));
     };
-    let Some(verb) = commands::ALL.iter().find(|verb| verb.name == name) else {
+    let Some(command) = commands::ALL.iter().find(|command| command.name == name) else {
         return Err(Failure::usage("", format!("unknown command {name:?}")));
     };
-    run_verb(verb, rest, &matches)
+    run_command(command, rest, &matches)
 }
 
-fn run_verb(verb: &'static Verb, args: &[String], before: &Matches) -> Result<(), Failure> {
-    let options = verb_options(verb);
+fn run_command(
+    command: &'static Command,
+    args: &[String],
+    global: &Matches,
+) -> Result<(), Failure> {
+    let options = command_options(command);
     let parsed = options.parse(args);
-    let matches = parsed.map_err(|error| Failure::usage(verb.name, error.to_string()))?;
+    let matches = parsed.map_err(|error| Failure::usage(command.name, error.to_string()))?;
     if matches.opt_present("help") {
         let brief = format!(
             "{}\n\nUsage: swiftlink {} {} [options]",
-            verb.about, verb.name, verb.usage
+            command.about, command.name, command.usage
         );
-        return out(&options.usage(&brief));
+        return write_stdout(&options.usage(&brief));
     }
     let json = match matches.opt_str("output").as_deref() {
         None | Some("table") => false,
         Some("json") => true,
         Some(other) => {
             let detail = format!("--output: {other:?} is neither table nor json");
-            return Err(Failure::usage(verb.name, detail));
+            return Err(Failure::usage(command.name, detail));
         }
     };
-    let settings = ClientSettings::resolve(&overrides(&[&matches, before]))?;
+    let settings = ClientSettings::resolve(&overrides(&[&matches, global]))?;
     let context = Context {
-        verb,
+        command,
         matches,
         operator: Operator::open(settings),
         json,
     };
-    (verb.run)(&context)
+    (command.run)(&context)
 }
 
-fn verb_options(verb: &Verb) -> Options {
+fn command_options(command: &Command) -> Options {
     let mut options = Options::new();
-    (verb.options)(&mut options);
+    (command.options)(&mut options);
     options.optopt("o", "output", "table (default) or json", "FORMAT");
     add_settings(&mut options);
     options.optflag("h", "help", "print this help");
     options
 }
 
-/// Options that are taken before and after the verb.
+/// Adds the options that are accepted before and after the command.
 fn add_settings(options: &mut Options) {
     let about = "operator address; may be repeated (or SWIFTLINK_OPERATOR)";
     options.optmulti("", "operator", about, "IP:PORT");
@@ -161,7 +170,7 @@
     options.optopt("c", "settings", "settings file (TOML)", "FILE");
 }
 
-/// The settings given on the command line; those after the verb go first.
+/// Collects the settings on the command line; those after the command take precedence.
 fn overrides(places: &[&Matches]) -> Overrides {
     let mut overrides = Overrides::default();
     for matches in places {
@@ -180,22 +189,22 @@
         "The operators' command line of swiftlink\n\n\
          Usage: swiftlink COMMAND [options]\n\nCommands:\n",
     );
-    for verb in commands::ALL {
-        brief.push_str(&format!("    {:<10} {}\n", verb.name, verb.about));
+    for command in commands::ALL {
+        brief.push_str(&format!("    {:<10} {}\n", command.name, command.about));
     }
     brief.push_str("\n`swiftlink COMMAND --help` shows the options of a command.");
     let mut text = options.usage(&brief);
     text.push_str(
         "\nThe environment variables SWIFTLINK_OPERATOR (addresses, separated by commas) and\n\
-         SWIFTLINK_TOKEN go before the settings file, options before both.\n\n\
-         Exit codes: 0 done, 1 refused or failed, 2 wrong arguments or file, 3 conflict,\n\
+         SWIFTLINK_TOKEN take precedence over the settings file, and options over both.\n\n\
+         Exit codes: 0 success, 1 refused or failed, 2 invalid arguments or file, 3 conflict,\n\
          4 no operator can be reached.\n",
     );
     text
 }
 
-/// Prints to the standard output; a reader that went away is no error.
-fn out(text: &str) -> Result<(), Failure> {
+/// Writes to the standard output. A closed pipe isn't an error.
+fn write_stdout(text: &str) -> Result<(), Failure> {
     let mut stdout = io::stdout().lock();
     let written = stdout
         .write_all(text.as_bytes())
--- a/src/bin/swiftlink/commands/apply.rs
+++ b/src/bin/swiftlink/commands/apply.rs
@@ -6,12 +6,12 @@
 use swiftlink_client::api::ApplyRequest;
 use swiftlink_client::{ClientError, block_on, change_id, document, table};
 
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "apply",
-    about: "Create or change the resources of a TOML file, all or none",
+    about: "Create or change the resources in a TOML file, all or none",
     usage: "-f FILE",
     options,
     run,
@@ -27,26 +27,26 @@
     change_options(options);
 }
 
-/// The options of every command that sends a change.
+/// Adds the options of the commands that send a change.
 pub fn change_options(options: &mut Options) {
-    options.optopt("", "change-id", "repeat the change of this id", "ID");
+    options.optopt("", "change-id", "repeat the change with this id", "ID");
     options.optopt(
         "",
         "author",
-        "who asks, for the record (default: the user's name)",
+        "author of the change, recorded on the log (default: the user name)",
         "NAME",
     );
 }
 
 fn run(context: &Context) -> Result<(), Failure> {
-    context.words(0, 0)?;
+    context.positional(0, 0)?;
     let Some(file) = context.matches.opt_str("file") else {
-        return Err(Failure::usage(VERB.name, "no file given"));
+        return Err(Failure::usage(COMMAND.name, "no file given"));
     };
     let changes = document::load(Path::new(&file))?;
     if changes.is_empty() {
         return Err(Failure::usage(
-            VERB.name,
+            COMMAND.name,
             format!("{file}: no resources in it"),
         ));
     }
@@ -57,7 +57,7 @@
     send(context, &request).map_err(|failure| failure.context(format!("can't apply {file}")))
 }
 
-/// Applies a request and prints what became of it.
+/// Applies a request and prints the result.
 pub fn send(context: &Context, request: &ApplyRequest) -> Result<(), Failure> {
     let given = context.matches.opt_str("change-id");
     let repeat = given.is_some();
@@ -69,17 +69,17 @@
     if !matches!(&error, ClientError::Refused(problem) if problem.is_conflict()) {
         return Err(error.into());
     }
-    // Perhaps the conflict is with this very change, whose answer was lost.
-    match block_on(context.operator.in_force(request))? {
+    // The conflict may be with this very change, if its response was lost.
+    match block_on(context.operator.already_applied(request))? {
         Ok(Some(applied)) => {
-            eprintln!("already in force: this run changed nothing");
+            eprintln!("already applied: nothing was changed");
             context.print(&applied, table::applied)
         }
         _ => Err(error.into()),
     }
 }
 
-/// Who asks: `--author`, else the user's name.
+/// Returns the author of the change: `--author`, else the user name.
 pub fn author(context: &Context) -> String {
     let given = context.matches.opt_str("author");
     given
--- a/src/bin/swiftlink/commands/budget.rs
+++ b/src/bin/swiftlink/commands/budget.rs
@@ -2,10 +2,10 @@
 
 use swiftlink_client::{block_on, table};
 
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "budget",
     about: "Show what is topped up, granted, charged, free and quarantined",
     usage: "NAME",
@@ -14,7 +14,7 @@
 };
 
 fn run(context: &Context) -> Result<(), Failure> {
-    let words = context.words(1, 1)?;
-    let budget = block_on(context.operator.budget(words[0]))??;
+    let arguments = context.positional(1, 1)?;
+    let budget = block_on(context.operator.budget(arguments[0]))??;
     context.print(&budget, table::budget)
 }
--- a/src/bin/swiftlink/commands/delete.rs
+++ b/src/bin/swiftlink/commands/delete.rs
@@ -4,12 +4,12 @@
 use swiftlink_client::api::{ApplyChange, ApplyRequest};
 
 use super::apply::{author, change_options, send};
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "delete",
-    about: "Remove a resource",
+    about: "Delete a resource",
     usage: "KIND NAME",
     options,
     run,
@@ -21,10 +21,10 @@
 }
 
 fn run(context: &Context) -> Result<(), Failure> {
-    let words = context.words(2, 2)?;
+    let arguments = context.positional(2, 2)?;
     let change = ApplyChange {
-        kind: words[0].to_owned(),
-        name: words[1].to_owned(),
+        kind: arguments[0].to_owned(),
+        name: arguments[1].to_owned(),
         base: context.number("base")?,
         delete: true,
         spec: None,
@@ -33,6 +33,6 @@
         author: author(context),
         changes: vec![change],
     };
-    let doing = format!("can't delete {} {}", words[0], words[1]);
-    send(context, &request).map_err(|failure| failure.context(doing))
+    let operation = format!("can't delete {} {}", arguments[0], arguments[1]);
+    send(context, &request).map_err(|failure| failure.context(operation))
 }
--- a/src/bin/swiftlink/commands/get.rs
+++ b/src/bin/swiftlink/commands/get.rs
@@ -3,10 +3,10 @@
 use swiftlink_client::api::{Resource, ResourceList};
 use swiftlink_client::{block_on, table};
 
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "get",
     about: "Show the resources of a kind, or one of them",
     usage: "KIND [NAME]",
@@ -15,23 +15,23 @@
 };
 
 fn run(context: &Context) -> Result<(), Failure> {
-    let words = context.words(1, 2)?;
-    match words[..] {
+    let arguments = context.positional(1, 2)?;
+    match arguments[..] {
         [kind, name] => {
             let resource = block_on(context.operator.get(kind, name))??;
-            context.print(&resource, one)
+            context.print(&resource, resource_table)
         }
         _ => {
-            let list = block_on(context.operator.list(words[0]))??;
-            context.print(&list, many)
+            let list = block_on(context.operator.list(arguments[0]))??;
+            context.print(&list, list_table)
         }
     }
 }
 
-fn one(resource: &Resource) -> String {
+fn resource_table(resource: &Resource) -> String {
     table::resource(resource)
 }
 
-fn many(list: &ResourceList) -> String {
+fn list_table(list: &ResourceList) -> String {
     table::resources(&list.items)
 }
--- a/src/bin/swiftlink/commands/log_level.rs
+++ b/src/bin/swiftlink/commands/log_level.rs
@@ -2,10 +2,10 @@
 
 use swiftlink_client::{block_on, table};
 
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "log-level",
     about: "Show or change what a process logs, without a restart",
     usage: "PROCESS [LEVEL]",
@@ -14,10 +14,10 @@
 };
 
 fn run(context: &Context) -> Result<(), Failure> {
-    let words = context.words(1, 2)?;
-    let answer = match words[..] {
-        [process, level] => block_on(context.operator.log_level(process, level))??,
-        _ => block_on(context.operator.read_level(words[0]))??,
+    let arguments = context.positional(1, 2)?;
+    let answer = match arguments[..] {
+        [process, level] => block_on(context.operator.set_log_level(process, level))??,
+        _ => block_on(context.operator.read_log_level(arguments[0]))??,
     };
     context.print(&answer, table::line)
 }
--- a/src/bin/swiftlink/commands/mod.rs
+++ b/src/bin/swiftlink/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The verbs of the command line, one file each.
+//! The commands of the command line, one file each.
 
 mod apply;
 mod budget;
@@ -9,16 +9,16 @@
 mod status;
 mod watch;
 
-use crate::cli::Verb;
+use crate::cli::Command;
 
-/// Every verb, in the order of the help.
-pub const ALL: &[Verb] = &[
-    apply::VERB,
-    get::VERB,
-    watch::VERB,
-    delete::VERB,
-    status::VERB,
-    budget::VERB,
-    dump::VERB,
-    log_level::VERB,
+/// All commands, in the order of the help.
+pub const ALL: &[Command] = &[
+    apply::COMMAND,
+    get::COMMAND,
+    watch::COMMAND,
+    delete::COMMAND,
+    status::COMMAND,
+    budget::COMMAND,
+    dump::COMMAND,
+    log_level::COMMAND,
 ];
--- a/src/bin/swiftlink/commands/status.rs
+++ b/src/bin/swiftlink/commands/status.rs
@@ -2,10 +2,10 @@
 
 use swiftlink_client::{block_on, table};
 
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "status",
     about: "Show every process with its configuration version, grants and queue",
     usage: "",
@@ -14,7 +14,7 @@
 };
 
 fn run(context: &Context) -> Result<(), Failure> {
-    context.words(0, 0)?;
+    context.positional(0, 0)?;
     let status = block_on(context.operator.status())??;
     context.print(&status, table::status)
 }
--- a/src/bin/swiftlink/commands/watch.rs
+++ b/src/bin/swiftlink/commands/watch.rs
@@ -3,10 +3,10 @@
 use getopts::Options;
 use swiftlink_client::{Watcher, block_on, table};
 
-use crate::cli::{Context, Verb};
+use crate::cli::{Command, Context};
 use crate::failure::Failure;
 
-pub const VERB: Verb = Verb {
+pub const COMMAND: Command = Command {
     name: "watch",
     about: "Follow changes of resources, one line each",
     usage: "[KIND]",
@@ -18,15 +18,15 @@
     options.optopt(
         "",
         "from",
-        "begin after this version (default: now; 0: the beginning)",
+        "start after this version (default: the current one; 0: the beginning)",
         "VERSION",
     );
 }
 
 fn run(context: &Context) -> Result<(), Failure> {
-    let words = context.words(0, 1)?;
+    let arguments = context.positional(0, 1)?;
     let from = context.number("from")?;
-    block_on(follow(context, words.first().copied(), from))?
+    block_on(follow(context, arguments.first().copied(), from))?
 }
 
 async fn follow(context: &Context, kind: Option<&str>, from: Option<u64>) -> Result<(), Failure> {
--- a/src/bin/swiftlink/failure.rs
+++ b/src/bin/swiftlink/failure.rs
@@ -1,4 +1,4 @@
-//! How a command fails: what it prints, and its exit code.
+//! Errors of commands: messages, suggestions and exit codes.
 
 use std::process::ExitCode;
 
@@ -10,31 +10,31 @@
 pub struct Failure {
     error: anyhow::Error,
     exit: Exit,
-    next: Option<String>,
+    suggestion: Option<String>,
 }
 
 impl Failure {
-    /// Wrong arguments; `verb` names whose help to read.
-    pub fn usage(verb: &str, detail: impl Into<String>) -> Self {
-        let command = if verb.is_empty() {
+    /// Creates an error for invalid arguments; `command` is the command whose help to suggest.
+    pub fn usage(command: &str, detail: impl Into<String>) -> Self {
+        let help = if command.is_empty() {
             "swiftlink --help".to_owned()
         } else {
-            format!("swiftlink {verb} --help")
+            format!("swiftlink {command} --help")
         };
         Self {
             error: anyhow::Error::msg(detail.into()),
             exit: Exit::Usage,
-            next: Some(format!("`{command}` shows the arguments")),
+            suggestion: Some(format!("`{help}` shows the arguments")),
         }
     }
 
-    /// Names what the command was doing.
-    pub fn context(mut self, doing: impl Into<String>) -> Self {
-        self.error = self.error.context(doing.into());
+    /// Adds the operation that failed.
+    pub fn context(mut self, operation: impl Into<String>) -> Self {
+        self.error = self.error.context(operation.into());
         self
     }
 
-    /// Prints the error with its causes and the next step.
+    /// Prints the error with its causes and the suggested next step.
     pub fn report(&self) -> ExitCode {
         eprintln!("error: {}", self.error);
         let causes: Vec<_> = self.error.chain().skip(1).collect();
@@ -44,8 +44,8 @@
         for cause in causes {
             eprintln!("    {cause}");
         }
-        if let Some(next) = &self.next {
-            eprintln!("\nNext step: {next}");
+        if let Some(suggestion) = &self.suggestion {
+            eprintln!("\nNext step: {suggestion}");
         }
         ExitCode::from(self.exit as u8)
     }
@@ -55,7 +55,7 @@
     fn from(error: ClientError) -> Self {
         Self {
             exit: error.exit(),
-            next: error.next_step(),
+            suggestion: error.next_step(),
             error: error.into(),
         }
     }
@@ -66,7 +66,7 @@
         Self {
             error: error.into(),
             exit: Exit::Usage,
-            next: Some("mend the file; nothing was sent".to_owned()),
+            suggestion: Some("fix the file; nothing was sent".to_owned()),
         }
     }
 }
@@ -76,7 +76,7 @@
         Self {
             error: error.into(),
             exit: Exit::Usage,
-            next: Some("`swiftlink --help` shows the settings".to_owned()),
+            suggestion: Some("`swiftlink --help` shows the settings".to_owned()),
         }
     }
 }
@@ -86,7 +86,7 @@
         Self {
             error: error.into(),
             exit: Exit::Failed,
-            next: None,
+            suggestion: None,
         }
     }
 }
@@ -96,7 +96,7 @@
         Self {
             error: error.into(),
             exit: Exit::Failed,
-            next: None,
+            suggestion: None,
         }
     }
 }
