--- a/crates/client/src/watch.rs
+++ b/crates/client/src/watch.rs
@@ -133,7 +133,8 @@
     /// it yet.
     ///
     /// The events of one change set share a version. It counts as received with the first event
-    /// of a later version or its heartbeat, so that no event is skipped.
+    /// of a later version or with a heartbeat of this or a later version, so that no event is
+    /// skipped.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.version
--- a/crates/operator/src/daemon.rs
+++ b/crates/operator/src/daemon.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// AdminState shown by the admin endpoint.
+/// State shown by the admin endpoint.
 struct AdminState {
     state: Arc<SharedState>,
     ledgers: Arc<Ledgers>,
--- a/crates/operator/src/shared_state.rs
+++ b/crates/operator/src/shared_state.rs
@@ -160,7 +160,7 @@
     }
 
     fn journal(&self) -> MutexGuard<'_, Journal> {
-        // A poisoned lock is usable: no panic can leave the journal half updated.
+        // A poisoned lock is usable: each update is complete before the guard is dropped.
         self.journal.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/operator/tests/testsuite/rig.rs
+++ b/crates/operator/tests/testsuite/rig.rs
@@ -23,13 +23,13 @@
 
 /// Settings with a short heartbeat. The addresses are placeholders: the listeners are already
 /// bound.
-pub fn settings(more: &Value) -> OperatorSettings {
+pub fn settings(overrides: &Value) -> OperatorSettings {
     let mut value = json!({
         "vm": "vm-1", "domain": "rennes-a", "admin": "127.0.0.1:1", "secret": SECRET,
         "listen": "127.0.0.1:2", "token": TOKEN, "log": "127.0.0.1:3",
         "heartbeat_ms": 50,
     });
-    for (key, entry) in more.as_object().expect("an object") {
+    for (key, entry) in overrides.as_object().expect("an object") {
         value[key] = entry.clone();
     }
     serde_json::from_value(value).expect("valid settings")
@@ -43,20 +43,20 @@
 
 impl Rig {
     /// Starts a daemon on `log` and waits until it has read the configuration.
-    pub async fn start(log: &Arc<MemLog>, more: &Value) -> Self {
-        let rig = Self::spawn(log, more);
+    pub async fn start(log: &Arc<MemLog>, overrides: &Value) -> Self {
+        let rig = Self::spawn(log, overrides);
         rig.ready().await;
         rig
     }
 
-    pub fn spawn(log: &Arc<MemLog>, more: &Value) -> Self {
+    pub fn spawn(log: &Arc<MemLog>, overrides: &Value) -> Self {
         let dependencies = Dependencies {
             log: Arc::clone(log) as _,
             listen: TcpListener::bind("127.0.0.1:0").expect("a free port"),
             admin: TcpListener::bind("127.0.0.1:0").expect("a free port"),
             metrics: Metrics::nop(),
         };
-        let operator = Operator::spawn(settings(more), dependencies).expect("starts");
+        let operator = Operator::spawn(settings(overrides), dependencies).expect("starts");
         let client = client(&[operator.address()]);
         Self { operator, client }
     }
