--- a/crates/client/tests/testsuite/document.rs
+++ b/crates/client/tests/testsuite/document.rs
@@ -127,7 +127,7 @@
 
     /// No text makes the parser panic.
     #[test]
-    fn any_text_is_taken_or_refused(text in "(\\[\\[(budget|key|class)\\]\\]\n|[a-z]{1,6} = [\"0-9a-z\\[\\]{}.+-]{0,6}\n|\\PC{0,8}\n){0,6}") {
+    fn arbitrary_text_does_not_panic(text in "(\\[\\[(budget|key|class)\\]\\]\n|[a-z]{1,6} = [\"0-9a-z\\[\\]{}.+-]{0,6}\n|\\PC{0,8}\n){0,6}") {
         let _outcome = parse("any.toml", &text);
     }
 }
--- a/crates/client/tests/testsuite/settings.rs
+++ b/crates/client/tests/testsuite/settings.rs
@@ -6,7 +6,7 @@
 use swiftlink_client::{ClientSettings, Overrides};
 
 #[test]
-fn arguments_go_before_the_environment_and_that_before_the_file() {
+fn arguments_override_the_environment_which_overrides_the_file() {
     let dir = tempfile::tempdir().expect("a directory");
     let (file, token, other) = (
         dir.path().join("c.toml"),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_missing_or_wrong_is_named() {
+fn missing_and_invalid_settings_are_named() {
     let error = |overrides: &Overrides| {
         let found = ClientSettings::resolve(overrides);
         found.expect_err("incomplete").to_string()
--- a/crates/client/tests/testsuite/table.rs
+++ b/crates/client/tests/testsuite/table.rs
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn a_level_is_a_plain_word() {
+fn a_string_is_printed_without_quotes() {
     assert_eq!(table::line(&json!("debug")), "debug\n");
 }
 
 #[test]
-fn specifications_are_the_same_whether_defaults_are_written_or_not() {
+fn specifications_with_and_without_defaults_are_equal() {
     let short = json!({ "budget": "registry" });
     let long = json!({ "budget": "registry", "classes": [], "stale": "refuse" });
     let other = json!({ "budget": "registry", "stale": "serve" });
--- a/crates/operator/src/shared_state.rs
+++ b/crates/operator/src/shared_state.rs
@@ -124,7 +124,7 @@
                 return fate;
             }
             if changes.changed().await.is_err() {
-                // The sender lives in `self`.
+                // Unreachable: `self` owns the sender, so the channel stays open.
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/operator/tests/testsuite/watch.rs
+++ b/crates/operator/tests/testsuite/watch.rs
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn watchers_of_a_busy_configuration_see_the_same_events() {
+async fn concurrent_watchers_see_the_same_events() {
     let log = Arc::new(MemLog::new());
     let rig = Rig::start(&log, &json!({})).await;
     const SETS: usize = 60;
