--- a/crates/shell/src/admin.rs
+++ b/crates/shell/src/admin.rs
@@ -11,19 +11,19 @@
 
 use crate::web::{self, Incoming, Limits, Response, Service, WebServer};
 
-const LEVEL_BYTES: usize = 64;
-const CONNECTIONS: usize = 64;
+const MAX_LEVEL_BYTES: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 const STOP_GRACE: Duration = Duration::from_secs(1);
 
-/// State that a daemon shows on its admin endpoint; secrets are left out of both.
+/// State that a daemon shows on its admin endpoint, without secrets.
 pub trait Dump: Send + Sync {
-    /// The whole state, for people who look for a fault.
+    /// The complete state, for debugging.
     fn dump(&self) -> serde_json::Value;
     /// The few figures that `swiftlink status` shows.
     fn status(&self) -> serde_json::Value;
 }
 
-/// The admin endpoint while it serves.
+/// The running admin endpoint.
 ///
 /// `GET /dump` and `GET /status` answer JSON; `GET` and `PUT /log-level` read and change
 /// the log level.
@@ -50,20 +50,20 @@
     pub fn listen(listener: TcpListener, dump: Arc<dyn Dump>) -> anyhow::Result<Self> {
         let limits = Limits {
             workers: 1,
-            connections: CONNECTIONS,
+            connections: MAX_CONNECTIONS,
             ..Limits::default()
         };
         let server = WebServer::bind(listener, limits, Arc::new(Pages { dump }))?;
         Ok(Self { server })
     }
 
-    /// Address that it serves on.
+    /// Address that the endpoint listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Stops serving.
+    /// Stops the endpoint.
     pub async fn stop(self) {
         self.server.stop(STOP_GRACE).await;
     }
@@ -93,7 +93,7 @@
 }
 
 async fn change_level(request: &mut Incoming) -> Response {
-    let body = match request.body(LEVEL_BYTES).await {
+    let body = match request.body(MAX_LEVEL_BYTES).await {
         Ok(body) => body,
         Err(error) => return web::problem(error.status(), &error.to_string()),
     };
--- a/crates/shell/src/cli.rs
+++ b/crates/shell/src/cli.rs
@@ -4,37 +4,37 @@
 
 use getopts::Options;
 
-/// Names a program to its users.
+/// Name, version and description of a program.
 #[derive(Debug, Clone, Copy)]
 pub struct About {
     /// Name of the binary.
     pub name: &'static str,
-    /// Its version.
+    /// Version of the binary.
     pub version: &'static str,
-    /// What it does, in one line.
+    /// Description in one line.
     pub about: &'static str,
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Print the help text.
     Help,
     /// Print name and version.
     Version,
-    /// Read the settings, print the effective ones and end.
+    /// Read the settings, print the effective ones and exit.
     Check(PathBuf),
     /// Run with these settings.
     Run(PathBuf),
 }
 
-/// A command line that can't be used.
+/// An invalid command line.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum UsageError {
     /// An option is unknown, given twice or lacks its value.
     #[error("{0}")]
     Option(String),
-    /// An argument that is no option.
+    /// A positional argument, of which there are none.
     #[error("unexpected argument `{0}`")]
     Argument(String),
     /// No settings file was named.
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -5,8 +5,8 @@
 //! checks the settings, opens log and metrics, starts the runtime, and hands the
 //! daemon its settings and a [`Shell`].
 //!
-//! Reading order: `run`, `shell`, `admin` (what each daemon shows of itself), then
-//! [`web`], which also serves callers and operators.
+//! Reading order: `run`, `shell`, `admin` (each daemon's diagnostics), then [`web`], which
+//! also serves callers and operators.
 
 mod admin;
 mod cli;
@@ -17,7 +17,7 @@
 
 pub use admin::{Admin, Dump};
 pub use cli::{About, Command, UsageError};
-pub use report::chain;
-pub use run::{Identity, Source, args, run, run_args, run_source};
+pub use report::error_chain;
+pub use run::{Identity, SettingsSource, args, run, run_args, run_source};
 pub use shell::Shell;
 pub use swiftlink_settings::{CheckError, Common, Settings};
--- a/crates/shell/src/report.rs
+++ b/crates/shell/src/report.rs
@@ -1,11 +1,11 @@
-//! Errors as text for people.
+//! Errors as readable text.
 
 use std::error::Error;
 use std::fmt::Write;
 
-/// `error` and its causes, one a line.
+/// Formats `error` and its causes, one per line.
 #[must_use]
-pub fn chain(error: &(dyn Error + 'static)) -> String {
+pub fn error_chain(error: &(dyn Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     if cause.is_some() {
--- a/crates/shell/src/run.rs
+++ b/crates/shell/src/run.rs
@@ -1,5 +1,5 @@
-//! Entry of the daemons: command line, settings, log and metrics, runtime, and then
-//! the daemon itself until it has stopped.
+//! Entry point of the daemons: handles command line, settings, log, metrics and runtime,
+//! and runs the daemon until it has stopped.
 
 use std::net::SocketAddr;
 use std::panic;
@@ -13,40 +13,41 @@
 use swiftlink_telemetry::{Metrics, event};
 
 use crate::cli::{About, Command};
-use crate::report::chain;
+use crate::report::error_chain;
 use crate::shell::Shell;
 
-/// Exit code for a bad command line or bad settings.
+/// Exit code for an invalid command line or invalid settings.
 const BAD_USAGE: u8 = 2;
-/// How long a metric may wait in the buffer.
-const FLUSH: Duration = Duration::from_secs(1);
+/// Longest time that a metric may stay in the buffer.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a daemon says of itself in logs and metrics.
+/// Identity of a daemon in logs and metrics.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// VM that it runs on.
+    /// VM that the daemon runs on.
     pub vm: String,
     /// Failure domain of the VM.
     pub domain: String,
-    /// Lowest level of events that are logged.
+    /// Minimum level of logged events.
     pub log_level: String,
     /// Address of the StatsD server, if there is one.
     pub statsd: Option<SocketAddr>,
 }
 
-/// How a daemon's settings are read and used.
+/// How a daemon's settings are loaded, and its identity derived from them.
 #[derive(Debug)]
-pub struct Source<S> {
+pub struct SettingsSource<S> {
     /// Reads and checks the settings file.
     pub load: fn(&Path) -> Result<S, SettingsError>,
-    /// What the daemon says of itself.
+    /// Derives the daemon's identity from its settings.
     pub identity: fn(&S) -> Identity,
 }
 
-/// Runs a daemon as the process's command line says.
+/// Runs a daemon according to the process's command line.
 ///
-/// `start` gets the checked settings and ends when the daemon has stopped. The exit
-/// code is 0 after a stop, 1 after an error and 2 for a bad command line or settings.
+/// `start` gets the validated settings and completes when the daemon has stopped. The exit
+/// code is 0 after a stop, 1 after an error and 2 for an invalid command line or invalid
+/// settings.
 pub fn run<S, F, Fut>(about: About, start: F) -> ExitCode
 where
     S: Settings,
@@ -56,14 +57,14 @@
     run_args(about, &args(), start)
 }
 
-/// Runs a daemon as `args` (without the program's name) say.
+/// Runs a daemon according to `args`, which exclude the program's name.
 pub fn run_args<S, F, Fut>(about: About, args: &[String], start: F) -> ExitCode
 where
     S: Settings,
     F: FnOnce(S, Shell) -> Fut,
     Fut: Future<Output = anyhow::Result<()>>,
 {
-    let source = Source {
+    let source = SettingsSource {
         load: swiftlink_settings::open,
         identity: |settings: &S| identity(settings.common()),
     };
@@ -74,7 +75,7 @@
 pub fn run_source<S, F, Fut>(
     about: About,
     args: &[String],
-    source: &Source<S>,
+    source: &SettingsSource<S>,
     start: F,
 ) -> ExitCode
 where
@@ -94,7 +95,7 @@
     }
 }
 
-/// The process's arguments without the program's name.
+/// Returns the process's arguments without the program's name.
 #[must_use]
 pub fn args() -> Vec<String> {
     let args = std::env::args_os().skip(1);
@@ -120,33 +121,33 @@
     ExitCode::from(code)
 }
 
-fn check<S: Serialize>(about: &About, file: &Path, source: &Source<S>) -> ExitCode {
+fn check<S: Serialize>(about: &About, file: &Path, source: &SettingsSource<S>) -> ExitCode {
     let settings = match (source.load)(file) {
         Ok(settings) => settings,
-        Err(error) => return fail(about, &chain(&error), BAD_USAGE),
+        Err(error) => return fail(about, &error_chain(&error), BAD_USAGE),
     };
     match swiftlink_settings::render(&settings) {
         Ok(text) => print(&text),
-        Err(error) => fail(about, &chain(&error), 1),
+        Err(error) => fail(about, &error_chain(&error), 1),
     }
 }
 
-fn serve<S, F, Fut>(about: &About, file: &Path, source: &Source<S>, start: F) -> ExitCode
+fn serve<S, F, Fut>(about: &About, file: &Path, source: &SettingsSource<S>, start: F) -> ExitCode
 where
     F: FnOnce(S, Shell) -> Fut,
     Fut: Future<Output = anyhow::Result<()>>,
 {
     let settings = match (source.load)(file) {
         Ok(settings) => settings,
-        Err(error) => return fail(about, &chain(&error), BAD_USAGE),
+        Err(error) => return fail(about, &error_chain(&error), BAD_USAGE),
     };
-    stop_on_panic();
+    abort_on_panic();
     let identity = (source.identity)(&settings);
     let result = block_on(about, &identity, |shell| start(settings, shell));
     drop(panic::take_hook());
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(about, &chain(error.as_ref()), 1),
+        Err(error) => fail(about, &error_chain(error.as_ref()), 1),
     }
 }
 
@@ -178,7 +179,7 @@
     let result = runtime.block_on(async {
         let shell = Shell::new(metrics.clone());
         shell.follow_signals().context("following signals")?;
-        let flushing = tokio::spawn(flush(metrics.clone()));
+        let flushing = tokio::spawn(flush_metrics(metrics.clone()));
         let result = start(shell).await;
         flushing.abort();
         result
@@ -189,17 +190,17 @@
     result
 }
 
-/// Sends buffered metrics now and then, so that rare ones don't wait for a full packet.
-async fn flush(metrics: Metrics) {
+/// Flushes buffered metrics periodically, so that rare ones don't wait for a full packet.
+async fn flush_metrics(metrics: Metrics) {
     loop {
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_INTERVAL).await;
         metrics.flush();
     }
 }
 
-/// A panic is a broken invariant: the process logs it and stops, so that a state
-/// that can't be trusted doesn't go on deciding.
-fn stop_on_panic() {
+/// Installs a panic hook that logs the panic and aborts the process. A panic means a
+/// broken invariant, and decisions on inconsistent state must not continue.
+fn abort_on_panic() {
     panic::set_hook(Box::new(|info| {
         let place = match info.location() {
             Some(location) => location.to_string(),
--- a/crates/shell/src/shell.rs
+++ b/crates/shell/src/shell.rs
@@ -1,4 +1,4 @@
-//! What a running daemon gets from its surroundings.
+//! Runtime context of a daemon: metrics, runtime handle, and stop and reload signals.
 
 use std::sync::Arc;
 
@@ -8,10 +8,11 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// Exit code after a second signal, which doesn't wait for requests in flight.
-const FORCED: i32 = 130;
+/// Exit code after a second signal, which ends the process without waiting for requests
+/// in flight.
+const FORCED_EXIT: i32 = 130;
 
-/// Metrics, runtime and stop signal of a daemon; a clone stands for the same process.
+/// Metrics, runtime handle and signals of a daemon. Clones share the same state.
 #[derive(Clone, Debug)]
 pub struct Shell {
     /// The process's metrics.
@@ -22,7 +23,7 @@
 }
 
 impl Shell {
-    /// A shell on the current runtime, stopped only by [`Shell::stop`].
+    /// Creates a shell on the current runtime, which only [`Shell::stop`] stops.
     ///
     /// # Panics
     /// Outside a tokio runtime.
@@ -36,17 +37,17 @@
         }
     }
 
-    /// Resolves once the process was told to stop by SIGTERM, SIGINT or [`Shell::stop`].
+    /// Resolves once SIGTERM, SIGINT or [`Shell::stop`] has requested a stop.
     pub fn stopped(&self) -> impl Future<Output = ()> + Send + 'static {
         self.stop.clone().cancelled_owned()
     }
 
-    /// Tells the process to stop.
+    /// Requests a stop of the process.
     pub fn stop(&self) {
         self.stop.cancel();
     }
 
-    /// Resolves once the process was told by SIGHUP that its settings file has changed.
+    /// Resolves at the next SIGHUP, which announces a changed settings file.
     pub async fn reloaded(&self) {
         self.reload.notified().await;
     }
@@ -57,8 +58,8 @@
         &self.handle
     }
 
-    /// Follows SIGTERM and SIGINT, of which the first one asks for a stop and the second
-    /// forces it, and SIGHUP.
+    /// Spawns the signal handler: the first SIGTERM or SIGINT requests a stop, the second
+    /// one exits at once, and SIGHUP requests a reload.
     pub(crate) fn follow_signals(&self) -> std::io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
         let mut int = signal(SignalKind::interrupt())?;
@@ -79,7 +80,7 @@
                 if stop.is_cancelled() {
                     event!(warn, "process.forced", signal = name);
                     swiftlink_telemetry::flush();
-                    std::process::exit(FORCED);
+                    std::process::exit(FORCED_EXIT);
                 }
                 event!(info, "process.stopping", signal = name);
                 stop.cancel();
--- a/crates/shell/src/web/acceptor.rs
+++ b/crates/shell/src/web/acceptor.rs
@@ -1,7 +1,8 @@
-//! A listener that can be closed, and opened again, while its server still serves.
+//! A listener that can be closed and reopened while its server keeps serving.
 //!
-//! The kernel connects clients before the server accepts them. Closing the listener
-//! resets those that wait, requests sent and all, so they are accepted first.
+//! The kernel completes handshakes before the server accepts. Closing the listener resets
+//! the connections in the accept queue, including those whose request was already sent,
+//! so the queue is emptied first.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener, TcpStream as StdStream};
@@ -18,25 +19,28 @@
 
 use super::connection::Shared;
 
-/// Pause before a port that couldn't be listened on again is tried once more.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Delay between attempts to listen on the port again.
+const REBIND_DELAY: Duration = Duration::from_millis(100);
 
-/// A bound listener on its way to the server.
-pub(super) struct Bound {
+/// A bound listener that the server turns into an [`Acceptor`].
+pub(super) struct BoundListener {
     pub(super) listener: StdListener,
     pub(super) shared: Arc<Shared>,
 }
 
-/// Accepts until the stop, then those who wait, then closes the listener and waits for the abort: the end of
-/// the accept loop ends the worker with all its connections, so it must not come before. While
-/// the gate is closed there is no listener, after those who wait were accepted.
+/// Accepts connections until the server stops.
+///
+/// At a stop it empties the accept queue, closes the listener and waits for the abort: the
+/// end of the accept loop ends the worker with all its connections, so it must not come
+/// earlier. While the gate is closed there is no listener; the accept queue is emptied
+/// before the listener closes.
 pub(super) struct Acceptor {
     address: SocketAddr,
     listener: Mutex<Option<Arc<TcpListener>>>,
     shared: Arc<Shared>,
 }
 
-impl IntoListener for Bound {
+impl IntoListener for BoundListener {
     type Listener = Acceptor;
 
     fn into_listener(self) -> io::Result<Acceptor> {
@@ -51,11 +55,11 @@
     }
 }
 
-/// What the accept loop does next.
+/// Next action of the accept loop.
 enum Next {
-    Take(Stream),
+    Serve(Stream),
     /// The gate is closed.
-    Shut,
+    CloseListener,
     Stop,
 }
 
@@ -68,8 +72,9 @@
         self.listener.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives the error that ends the accept loop, once the workers may end.
-    async fn ended(&self) -> io::Result<Stream> {
+    /// Closes the listener, waits until the workers may end, and returns the error that
+    /// ends the accept loop.
+    async fn close_and_wait_for_abort(&self) -> io::Result<Stream> {
         *self.lock() = None;
         self.shared.closed.cancel();
         self.shared.abort.cancelled().await;
@@ -80,23 +85,23 @@
         tokio::select! {
             biased;
             () = self.shared.stop.cancelled() => Ok(Next::Stop),
-            () = self.shared.gate.until(false) => Ok(Next::Shut),
+            () = self.shared.gate.until(false) => Ok(Next::CloseListener),
             accepted = listener.accept() => {
                 let (socket, peer) = accepted?;
-                Ok(Next::Take(Stream::Tcp(socket.into_std()?, peer)))
+                Ok(Next::Serve(Stream::Tcp(socket.into_std()?, peer)))
             }
         }
     }
 
-    /// Closes the listener that a worker found the gate closed at; another one may have done so.
-    fn shut(&self, found: &Arc<TcpListener>) {
+    /// Closes the listener `found` unless another worker has closed it already.
+    fn close_listener(&self, found: &Arc<TcpListener>) {
         let mut current = self.lock();
         if current.as_ref().is_some_and(|now| Arc::ptr_eq(now, found)) {
             *current = None;
         }
     }
 
-    /// Listens again once the gate is open; says whether the server stops instead.
+    /// Listens again once the gate is open. Returns true when the server stops instead.
     async fn reopen(&self) -> bool {
         loop {
             tokio::select! {
@@ -113,11 +118,11 @@
                 address = self.address,
                 error = error
             );
-            sleep(AGAIN).await;
+            sleep(REBIND_DELAY).await;
         }
     }
 
-    /// Listens, unless another worker does already.
+    /// Binds the listener unless another worker has done so already.
     fn listen(&self) -> io::Result<()> {
         let mut current = self.lock();
         if current.is_some() {
@@ -135,37 +140,37 @@
         loop {
             let Some(listener) = self.current() else {
                 if self.reopen().await {
-                    return self.ended().await;
+                    return self.close_and_wait_for_abort().await;
                 }
                 continue;
             };
             let next = self.next(&listener).await?;
             let is_stop = matches!(next, Next::Stop);
             let stream = match next {
-                Next::Take(stream) => Some(stream),
-                Next::Shut | Next::Stop => waiting(&listener),
+                Next::Serve(stream) => Some(stream),
+                Next::CloseListener | Next::Stop => accept_queued(&listener),
             };
             if let Some(stream) = stream {
                 self.shared.arriving.fetch_add(1, Ordering::SeqCst);
                 return Ok(stream);
             }
-            self.shut(&listener);
+            self.close_listener(&listener);
             drop(listener);
             if is_stop || self.reopen().await {
-                return self.ended().await;
+                return self.close_and_wait_for_abort().await;
             }
         }
     }
 }
 
-/// A connection that waits to be accepted, if there is one.
-fn waiting(listener: &TcpListener) -> Option<Stream> {
-    // Not through tokio, which may not have heard of it yet.
+/// Takes a connection from the accept queue, if there is one.
+fn accept_queued(listener: &TcpListener) -> Option<Stream> {
+    // tokio may not have seen the socket become readable yet.
     let socket = SockRef::from(listener);
     loop {
         let (socket, peer) = match socket.accept() {
             Ok(accepted) => accepted,
-            Err(error) if is_of_client(&error) => continue,
+            Err(error) if is_client_error(&error) => continue,
             Err(_) => return None,
         };
         if let Some(peer) = peer.as_socket()
@@ -176,8 +181,8 @@
     }
 }
 
-/// Whether accepting failed for this one client only.
-fn is_of_client(error: &io::Error) -> bool {
+/// Whether the accept error concerns a single client only.
+fn is_client_error(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted
--- a/crates/shell/src/web/body.rs
+++ b/crates/shell/src/web/body.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use futures_util::Stream;
 
-/// Body of a response: whole or a stream of pieces.
+/// Body of a response: complete content or a stream of pieces.
 ///
-/// A stream that fails cuts the connection, so that the client notices that the answer
-/// isn't whole.
+/// When the stream fails, the connection is closed without the final chunk, so that the
+/// client notices that the response is incomplete.
 pub struct Body(pub(super) Kind);
 
 pub(super) enum Kind {
@@ -25,7 +25,7 @@
         Self(Kind::Full(Bytes::new()))
     }
 
-    /// A body whose content is known.
+    /// A body with complete content.
     pub fn full(content: impl Into<Bytes>) -> Self {
         Self(Kind::Full(content.into()))
     }
--- a/crates/shell/src/web/connection.rs
+++ b/crates/shell/src/web/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its limits, its end by the client and its end by a stop.
+//! One connection: its limits, and its end by the client or by a stop of the server.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -22,17 +22,18 @@
 
 use super::gate::Gate;
 
-const FULL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n\
+const BUSY_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n\
     connection: close\r\ncontent-length: 0\r\n\r\n";
-/// How long a refused connection is kept, so that its client can read why.
+/// How long a refused connection stays open, so that its client can read the response.
 const LINGER: Duration = Duration::from_millis(500);
-/// Most refused connections that are kept; more are closed without a word.
-pub(super) const REFUSALS: usize = 64;
-const PROBES: u32 = 3;
-/// Time that a new connection has for its first request once the server stops.
+/// Maximum number of refused connections that get a response; further ones are just
+/// closed.
+pub(super) const MAX_REFUSALS: usize = 64;
+const KEEPALIVE_PROBES: u32 = 3;
+/// How long a new connection may take to begin its first request once the server stops.
 const FIRST_WAIT: Duration = Duration::from_millis(500);
-/// Time between looks at connections that are about to be served.
-const LOOK: Duration = Duration::from_millis(1);
+/// Interval at which a stop checks the accepted connections that have no permit yet.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 tokio::task_local! {
     /// The connection that the current future serves.
@@ -43,38 +44,39 @@
 pub(super) struct Shared {
     /// One permit for each connection that may be open.
     pub(super) permits: Arc<Semaphore>,
-    /// One permit for each refused connection that may be told so.
+    /// One permit for each refused connection that may get a response.
     pub(super) refusals: Semaphore,
-    /// Whether new connections are taken.
+    /// Whether new connections are accepted.
     pub(super) gate: Arc<Gate>,
     /// Cancelled when the server stops: no new requests.
     pub(super) stop: CancellationToken,
-    /// Cancelled when the listener is closed: nobody waits to be accepted any more.
+    /// Cancelled when the listener is closed and the accept queue is empty.
     pub(super) closed: CancellationToken,
-    /// Connections accepted that have no permit yet.
+    /// Number of accepted connections that have no permit yet.
     pub(super) arriving: AtomicUsize,
-    /// Cancelled when the grace of a stop is over.
+    /// Cancelled when the grace period of a stop has expired.
     pub(super) abort: CancellationToken,
     /// See [`Limits::stall`](super::Limits::stall).
     pub(super) stall: Duration,
 }
 
 impl Shared {
-    /// Resolves when all connections that there will be have their permits.
+    /// Resolves when the listener is closed and every accepted connection has its permit
+    /// or was refused.
     pub(super) async fn all_arrived(&self) {
         self.closed.cancelled().await;
         while self.arriving.load(Ordering::SeqCst) > 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// A second handle on a connection's socket, by which the connection is watched and
-/// ended while xitca's dispatcher reads and writes it.
+/// A duplicate of a connection's socket, used to watch and close the connection while
+/// xitca's dispatcher reads and writes it.
 pub(super) struct Connection {
     socket: TcpStream,
     busy: Cell<bool>,
-    /// The first request has begun.
+    /// Cancelled when the first request has begun.
     begun: CancellationToken,
     closing: Cell<bool>,
     shut: Cell<bool>,
@@ -87,8 +89,8 @@
         options.set_tcp_nodelay(true)?;
         let keepalive = TcpKeepalive::new()
             .with_time(stall)
-            .with_interval(stall / PROBES)
-            .with_retries(PROBES);
+            .with_interval(stall / KEEPALIVE_PROBES)
+            .with_retries(KEEPALIVE_PROBES);
         options.set_tcp_keepalive(&keepalive)?;
         options.set_tcp_user_timeout(Some(stall))?;
         Ok(Self {
@@ -100,13 +102,14 @@
         })
     }
 
-    /// Notes that a request is in flight.
+    /// Marks the connection as busy with a request.
     pub(super) fn begin(&self) {
         self.busy.set(true);
         self.begun.cancel();
     }
 
-    /// Notes that the response was handed to the dispatcher in full, or was dropped.
+    /// Marks the connection as idle: the dispatcher has the complete response, or the
+    /// response was dropped.
     pub(super) fn end(&self) {
         self.busy.set(false);
         if self.closing.get() {
@@ -114,12 +117,12 @@
         }
     }
 
-    /// Whether the connection ends after the request in flight.
+    /// Whether the connection closes after the request in flight.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Whether the client has closed its sending half and all it sent was read.
+    /// Whether the client has closed its sending half and everything it sent was read.
     pub(super) fn peer_closed(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         matches!(SockRef::from(&self.socket).peek(&mut byte), Ok(0))
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Makes the dispatcher's next read find the end, upon which it writes out what is
-    /// left of the response and closes.
+    /// Makes the dispatcher's next read return end of file, upon which it writes the rest
+    /// of the response and closes the connection.
     fn shut_read(&self) {
         self.shut.set(true);
         // Fails only when the connection is gone already.
@@ -149,7 +152,7 @@
             if ready.is_read_closed() {
                 break;
             }
-            // Forgets this readiness without reading, so that the next event wakes us.
+            // Clears this readiness without reading, so that the next event wakes the task.
             let blocked = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
             let _result = self.socket.try_io(Interest::READABLE, blocked);
         }
@@ -160,36 +163,36 @@
 
     async fn stopped(&self, shared: &Shared) {
         shared.stop.cancelled().await;
-        // Its request may be on the way; a client doesn't send one again that was
-        // cut on a new connection.
+        // The first request may be in flight, and clients don't retry a request that
+        // failed on a new connection.
         let _late = tokio::time::timeout(FIRST_WAIT, self.begun.cancelled()).await;
         self.close_when_idle();
         shared.abort.cancelled().await;
     }
 }
 
-/// Middleware that puts [`Connections`] in front of the HTTP service.
-pub(super) struct Layer(pub(super) Arc<Shared>);
+/// Middleware that wraps the HTTP service in [`ConnectionHandler`].
+pub(super) struct ConnectionLayer(pub(super) Arc<Shared>);
 
-impl<S, E> Service<Result<S, E>> for Layer {
-    type Response = Connections<S>;
+impl<S, E> Service<Result<S, E>> for ConnectionLayer {
+    type Response = ConnectionHandler<S>;
     type Error = E;
 
     async fn call(&self, http: Result<S, E>) -> Result<Self::Response, E> {
-        Ok(Connections {
+        Ok(ConnectionHandler {
             http: http?,
             shared: Arc::clone(&self.0),
         })
     }
 }
 
-/// Serves connections.
-pub(super) struct Connections<S> {
+/// Service that enforces the connection limit and serves each connection.
+pub(super) struct ConnectionHandler<S> {
     http: S,
     shared: Arc<Shared>,
 }
 
-impl<S: Service<Stream>> Service<Stream> for Connections<S> {
+impl<S: Service<Stream>> Service<Stream> for ConnectionHandler<S> {
     type Response = ();
     type Error = Infallible;
 
@@ -200,8 +203,8 @@
         let permit = Arc::clone(&self.shared.permits).try_acquire_owned();
         self.shared.arriving.fetch_sub(1, Ordering::SeqCst);
         let Ok(_permit) = permit else {
-            let told = self.shared.refusals.try_acquire();
-            if told.is_ok() {
+            let refusal = self.shared.refusals.try_acquire();
+            if refusal.is_ok() {
                 refuse(socket).await;
             }
             return Ok(());
@@ -221,18 +224,20 @@
     }
 }
 
-impl<S> ReadyService for Connections<S> {
+impl<S> ReadyService for ConnectionHandler<S> {
     type Ready = ();
 
     async fn ready(&self) {}
 }
 
-/// Tells a client that there are too many connections.
+/// Responds with 503, as there are too many connections.
 async fn refuse(mut socket: StdStream) {
-    // The socket's buffer is empty, so this can't block; if it fails, the client is gone.
-    if socket.write_all(FULL).is_err() || socket.shutdown(Shutdown::Write).is_err() {
+    // The send buffer is empty, so this can't block. A failure means that the client has
+    // disconnected.
+    if socket.write_all(BUSY_RESPONSE).is_err() || socket.shutdown(Shutdown::Write).is_err() {
         return;
     }
-    // Closing with unread data would reset the connection before the client has read.
+    // Closing with unread data would reset the connection before the client has read
+    // the response.
     tokio::time::sleep(LINGER).await;
 }
--- a/crates/shell/src/web/incoming.rs
+++ b/crates/shell/src/web/incoming.rs
@@ -1,4 +1,4 @@
-//! Requests as a service sees them.
+//! The request type that services receive.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -16,16 +16,16 @@
 
 use super::connection::Connection;
 
-/// Most of an unwanted body that is read and thrown away, so that the client
-/// gets to see the response instead of a reset connection.
+/// Largest part of a refused body that is read and discarded, so that the client reads
+/// the response instead of a connection reset.
 const DISCARD_BYTES: usize = 4 * 1024 * 1024;
 
-/// A request: its head, and a body that is read on demand.
+/// A request with its head, and a body that is read on demand.
 pub struct Incoming {
     head: request::Parts,
     peer: SocketAddr,
-    limit: Duration,
-    body: Source,
+    body_timeout: Duration,
+    body: BodyReader,
 }
 
 /// Why a body could not be read.
@@ -34,7 +34,7 @@
     /// Longer than the limit.
     #[error("the request body is too large")]
     TooLarge,
-    /// Took longer than the server's limit.
+    /// Took longer than [`Limits::body`](super::Limits::body).
     #[error("the request body took too long")]
     Timeout,
     /// Ended early or was malformed.
@@ -58,13 +58,13 @@
     pub(super) fn new(
         head: request::Parts,
         peer: SocketAddr,
-        limit: Duration,
-        body: Source,
+        body_timeout: Duration,
+        body: BodyReader,
     ) -> Self {
         Self {
             head,
             peer,
-            limit,
+            body_timeout,
             body,
         }
     }
@@ -87,7 +87,7 @@
         &self.head.headers
     }
 
-    /// Value of a header, when it is there once or more and is visible ASCII.
+    /// First value of a header, if it is present and visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
@@ -99,12 +99,12 @@
         self.peer
     }
 
-    /// Reads the whole body; a second call gives no more bytes.
+    /// Reads the whole body. A second call returns no more bytes.
     ///
     /// # Errors
     /// When the body is longer than `limit` bytes, takes too long, or ends early.
     pub async fn body(&mut self, limit: usize) -> Result<Bytes, BodyError> {
-        let time = self.limit;
+        let time = self.body_timeout;
         match tokio::time::timeout(time, self.read(limit)).await {
             Ok(result) => result,
             Err(_elapsed) => Err(BodyError::Timeout),
@@ -112,37 +112,38 @@
     }
 
     async fn read(&mut self, limit: usize) -> Result<Bytes, BodyError> {
-        let declared = self.declared();
-        if declared.is_some_and(|length| length > limit as u64) {
+        let declared_len = self.declared_len();
+        if declared_len.is_some_and(|length| length > limit as u64) {
             self.refuse_declared(limit).await;
             return Err(BodyError::TooLarge);
         }
-        let mut whole = BytesMut::new();
+        let mut content = BytesMut::new();
         while let Some(piece) = self.body.next().await {
             let piece = piece?;
-            if whole.len() + piece.len() > limit {
+            if content.len() + piece.len() > limit {
                 self.body.discard(DISCARD_BYTES).await;
                 return Err(BodyError::TooLarge);
             }
-            whole.extend_from_slice(&piece);
+            content.extend_from_slice(&piece);
         }
-        if declared.is_some_and(|length| length != whole.len() as u64) && !whole.is_empty() {
+        if declared_len.is_some_and(|length| length != content.len() as u64) && !content.is_empty()
+        {
             return Err(BodyError::Broken);
         }
-        Ok(whole.freeze())
+        Ok(content.freeze())
     }
 
-    /// Throws away a body that is too long by its declared length, unless the client
-    /// waits for leave to send it or it is far too long.
+    /// Discards a body whose declared length is above the limit, unless the client waits
+    /// for `100 Continue` or the length exceeds the limit by more than [`DISCARD_BYTES`].
     async fn refuse_declared(&mut self, limit: usize) {
         let waits = self.head.headers.contains_key(EXPECT);
-        let far = self.declared() > Some((limit + DISCARD_BYTES) as u64);
+        let far = self.declared_len() > Some((limit + DISCARD_BYTES) as u64);
         if !waits && !far {
             self.body.discard(limit + DISCARD_BYTES).await;
         }
     }
 
-    fn declared(&self) -> Option<u64> {
+    fn declared_len(&self) -> Option<u64> {
         self.header(CONTENT_LENGTH.as_str())?.parse().ok()
     }
 }
@@ -158,15 +159,15 @@
     }
 }
 
-/// The rest of a request's body, shared by the request and by its response, which
-/// reads to the end what the service left.
+/// The unread part of a request's body. The request and its response share it: the
+/// response discards what the service has not read.
 #[derive(Clone)]
-pub(super) struct Source {
+pub(super) struct BodyReader {
     body: Rc<RefCell<Option<RequestBody>>>,
     connection: Rc<Connection>,
 }
 
-impl Source {
+impl BodyReader {
     pub(super) fn new(body: Option<RequestBody>, connection: Rc<Connection>) -> Self {
         Self {
             body: Rc::new(RefCell::new(body)),
@@ -182,9 +183,9 @@
         poll_fn(|cx| self.poll_next(cx)).await
     }
 
-    /// Reads and throws away up to `most` bytes.
-    async fn discard(&self, most: usize) {
-        let mut left = most;
+    /// Reads and discards up to `max` bytes.
+    async fn discard(&self, max: usize) {
+        let mut left = max;
         while let Some(Ok(piece)) = self.next().await {
             let Some(rest) = left.checked_sub(piece.len()) else {
                 return;
@@ -208,15 +209,15 @@
                 }
                 None => {
                     *body = None;
-                    return Poll::Ready(self.cut().then_some(Err(BodyError::Broken)));
+                    return Poll::Ready(self.is_truncated().then_some(Err(BodyError::Broken)));
                 }
             }
         }
     }
 
-    /// Whether the body may have ended only because the client closed the connection:
-    /// the decoder reports both ends alike.
-    fn cut(&self) -> bool {
+    /// Whether the body may have ended only because the client closed the connection; the
+    /// decoder reports a complete and a truncated body alike.
+    fn is_truncated(&self) -> bool {
         self.connection.peer_closed()
     }
 }
--- a/crates/shell/src/web/limits.rs
+++ b/crates/shell/src/web/limits.rs
@@ -2,19 +2,20 @@
 
 use std::time::Duration;
 
-/// Largest head of a request (request line and headers), in bytes; more gets 431.
+/// Largest head of a request (request line and headers), in bytes. Larger heads get 431.
 pub const HEADER_BYTES: usize = 32 * 1024;
-/// Most header fields of a request; more get 431.
+/// Maximum number of header fields of a request. More get 431.
 pub const HEADER_FIELDS: usize = 64;
 
-/// Limits of a server that its owner chooses.
+/// Configurable limits of a server.
 ///
-/// The times `idle` and `head` are kept to within half a second.
+/// The timeouts `idle` and `head` are accurate to half a second.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Worker threads; each serves its share of the connections.
+    /// Number of worker threads; each serves its share of the connections.
     pub workers: usize,
-    /// Most open connections; more get 503 and are closed (a flood of them just closed).
+    /// Maximum number of open connections. Further ones get 503 and are closed; a flood of
+    /// them is closed without a response.
     pub connections: usize,
     /// How long a connection may be idle between requests.
     pub idle: Duration,
@@ -22,7 +23,7 @@
     pub head: Duration,
     /// How long the body of a request may take once the service asks for it.
     pub body: Duration,
-    /// How long a client may take no data, or be gone without a word, before its
+    /// How long a client may accept no data, or not answer keep-alive probes, before its
     /// connection is closed.
     pub stall: Duration,
 }
--- a/crates/shell/src/web/mod.rs
+++ b/crates/shell/src/web/mod.rs
@@ -1,8 +1,8 @@
-//! The HTTP/1.1 server that every process shares, on xitca-web and its server.
+//! The HTTP/1.1 server of all processes, built on xitca-web and its server.
 //!
 //! A [`WebServer`] runs worker threads with a single-threaded runtime each; the futures
 //! of a [`Service`] run there and needn't be `Send`. tokio's timers, channels, sockets and
-//! `tokio::spawn` work in them, but what is spawned on a worker ends with the server; a
+//! `tokio::spawn` work in them, but a task spawned on a worker ends with the server; a
 //! task that must outlive it belongs on [`Shell::handle`](crate::Shell::handle).
 //!
 //! Each piece of a streamed body is sent as soon as it is ready. When the client closes
--- a/crates/shell/src/web/output.rs
+++ b/crates/shell/src/web/output.rs
@@ -1,4 +1,4 @@
-//! Response bodies as xitca's dispatcher polls them.
+//! Adapter from response bodies to the body type that xitca's dispatcher polls.
 
 use std::io;
 use std::pin::Pin;
@@ -12,29 +12,29 @@
 
 use super::body::{Body, Kind};
 use super::connection::Connection;
-use super::incoming::Source;
+use super::incoming::BodyReader;
 
-/// Most of an unread request body that is thrown away after the response.
-const DRAIN_BYTES: usize = 256 * 1024;
-/// How long the client may take to send it.
-const DRAIN_TIME: Duration = Duration::from_secs(1);
+/// Largest part of an unread request body that is discarded after the response.
+const MAX_DRAIN_BYTES: usize = 256 * 1024;
+/// Longest time that the client may take to send that part.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A response body that ends its request on the connection when it is dropped.
-pub(super) struct Output {
+/// A response body. Dropping it marks the connection as idle.
+pub(super) struct ResponseBody {
     kind: Option<Kind>,
     size: SizeHint,
     drain: Option<Drain>,
     connection: Rc<Connection>,
 }
 
-/// An unread request body on its way to nowhere.
+/// State of discarding an unread request body.
 struct Drain {
-    rest: Source,
+    rest: BodyReader,
     left: usize,
     end: Pin<Box<Sleep>>,
 }
 
-impl Output {
+impl ResponseBody {
     pub(super) fn new(body: Body, connection: Rc<Connection>) -> Self {
         let size = match &body.0 {
             Kind::Full(content) => SizeHint::Exact(content.len() as u64),
@@ -48,28 +48,28 @@
         }
     }
 
-    /// Reads the rest of the request behind the content, so that the connection can serve
-    /// the next one. Gives whether it will, which it does for content of known length
-    /// only: the end mark of a stream would have to wait for it.
-    pub(super) fn drain(&mut self, rest: Source, time: Duration) -> bool {
+    /// Discards the unread rest of the request body after the content, so that the
+    /// connection can serve the next request. Returns false for content of unknown length,
+    /// where nothing is discarded: the final chunk would have to wait for it.
+    pub(super) fn drain(&mut self, rest: BodyReader, time: Duration) -> bool {
         if !matches!(self.size, SizeHint::Exact(_)) {
             return false;
         }
         self.drain = Some(Drain {
             rest,
-            left: DRAIN_BYTES,
-            end: Box::pin(sleep(time.min(DRAIN_TIME))),
+            left: MAX_DRAIN_BYTES,
+            end: Box::pin(sleep(time.min(DRAIN_TIMEOUT))),
         });
         true
     }
 
-    /// Leaves out the content but keeps its length, as the response to HEAD.
-    pub(super) fn leave_content(&mut self) {
+    /// Drops the content but keeps its length, as a response to HEAD needs.
+    pub(super) fn drop_content(&mut self) {
         self.kind = None;
     }
 
-    /// Leaves out content and length, as for the statuses that have neither.
-    pub(super) fn leave_length(&mut self) {
+    /// Drops content and length, for statuses that allow neither.
+    pub(super) fn drop_length(&mut self) {
         self.kind = None;
         self.size = SizeHint::None;
     }
@@ -111,7 +111,7 @@
     }
 }
 
-impl XitcaBody for Output {
+impl XitcaBody for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -137,7 +137,7 @@
     }
 }
 
-impl Drop for Output {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         self.connection.end();
     }
--- a/crates/shell/src/web/request.rs
+++ b/crates/shell/src/web/request.rs
@@ -1,4 +1,4 @@
-//! From xitca's requests to those of a service, and back.
+//! Conversion between xitca's requests and responses and those of a service.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -14,36 +14,36 @@
 use xitca_web::service::ready::ReadyService;
 
 use super::connection::CURRENT;
-use super::incoming::{Incoming, Source};
-use super::output::Output;
+use super::incoming::{BodyReader, Incoming};
+use super::output::ResponseBody;
 use super::service::Service;
 
-/// Makes [`Requests`] for each worker.
+/// Creates one [`RequestHandler`] per worker.
 pub(super) struct Factory {
     pub(super) service: Arc<dyn Service>,
-    pub(super) body: Duration,
+    pub(super) body_timeout: Duration,
 }
 
 impl XitcaService for Factory {
-    type Response = Requests;
+    type Response = RequestHandler;
     type Error = Infallible;
 
-    async fn call(&self, (): ()) -> Result<Requests, Infallible> {
-        Ok(Requests {
+    async fn call(&self, (): ()) -> Result<RequestHandler, Infallible> {
+        Ok(RequestHandler {
             service: Arc::clone(&self.service),
-            body: self.body,
+            body_timeout: self.body_timeout,
         })
     }
 }
 
-/// Serves requests.
-pub(super) struct Requests {
+/// Calls the service for each request of a worker.
+pub(super) struct RequestHandler {
     service: Arc<dyn Service>,
-    body: Duration,
+    body_timeout: Duration,
 }
 
-impl XitcaService<Request<RequestExt<RequestBody>>> for Requests {
-    type Response = http::Response<Output>;
+impl XitcaService<Request<RequestExt<RequestBody>>> for RequestHandler {
+    type Response = http::Response<ResponseBody>;
     type Error = Infallible;
 
     async fn call(
@@ -58,33 +58,33 @@
         let upgrade = head.headers.contains_key(UPGRADE);
         let expect = head.headers.contains_key(EXPECT);
         let head_only = head.method == Method::HEAD;
-        // What follows a request to upgrade has no end; it is refused by ignoring it.
+        // The data after an upgrade request has no end. Ignoring it refuses the upgrade.
         let has_body = !upgrade && !matches!(body, RequestBody::None);
-        let source = Source::new(has_body.then_some(body), Rc::clone(&connection));
-        let incoming = Incoming::new(head, peer, self.body, source.clone());
+        let source = BodyReader::new(has_body.then_some(body), Rc::clone(&connection));
+        let incoming = Incoming::new(head, peer, self.body_timeout, source.clone());
         let response = self.service.call(incoming).await;
 
         let (mut parts, body) = response.into_parts();
-        let mut output = Output::new(body, Rc::clone(&connection));
+        let mut output = ResponseBody::new(body, Rc::clone(&connection));
         let mut last = upgrade || connection.is_closing();
         if !source.is_done() {
-            // Reading would tell a client that waits for leave to send the body.
-            last |= expect || !output.drain(source, self.body);
+            // Reading would send `100 Continue` to a client that waits for it.
+            last |= expect || !output.drain(source, self.body_timeout);
         }
-        frame(&mut parts, &mut output, head_only, last);
+        set_framing(&mut parts, &mut output, head_only, last);
         Ok(http::Response::from_parts(parts, output))
     }
 }
 
-impl ReadyService for Requests {
+impl ReadyService for RequestHandler {
     type Ready = ();
 
     async fn ready(&self) {}
 }
 
-/// Makes headers and content fit each other; how a body is framed on this connection is
-/// not the service's decision.
-fn frame(parts: &mut Parts, output: &mut Output, head_only: bool, last: bool) {
+/// Makes headers and content consistent. The connection decides how a body is framed, so
+/// the service's own framing headers are removed.
+fn set_framing(parts: &mut Parts, output: &mut ResponseBody, head_only: bool, last: bool) {
     parts.headers.remove(TRANSFER_ENCODING);
     parts.headers.remove(CONNECTION);
     if last {
@@ -92,13 +92,13 @@
         parts.headers.insert(CONNECTION, close);
     }
     if head_only {
-        output.leave_content();
+        output.drop_content();
     }
     if matches!(
         parts.status,
         StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
     ) {
         parts.headers.remove(CONTENT_LENGTH);
-        output.leave_length();
+        output.drop_length();
     }
 }
--- a/crates/shell/src/web/respond.rs
+++ b/crates/shell/src/web/respond.rs
@@ -1,4 +1,4 @@
-//! Common responses.
+//! Constructors of common responses.
 
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, StatusCode};
@@ -23,7 +23,7 @@
     build(status, TEXT, content.into().into_bytes())
 }
 
-/// An error as RFC 9457 problem+json: the status's own title, and `detail`.
+/// An error as RFC 9457 problem+json, with the status's reason phrase as its title.
 pub fn problem(status: StatusCode, detail: &str) -> Response {
     let value = serde_json::json!({
         "type": "about:blank",
--- a/crates/shell/src/web/server.rs
+++ b/crates/shell/src/web/server.rs
@@ -1,4 +1,4 @@
-//! The running server.
+//! Start and stop of the server.
 
 use std::fmt;
 use std::net::{SocketAddr, TcpListener};
@@ -15,20 +15,20 @@
 use xitca_server::{Builder, ServerHandle};
 use xitca_web::service::ServiceExt;
 
-use super::acceptor::Bound;
-use super::connection::{Layer, REFUSALS, Shared};
+use super::acceptor::BoundListener;
+use super::connection::{ConnectionLayer, MAX_REFUSALS, Shared};
 use super::gate::Gate;
 use super::limits::{HEADER_BYTES, HEADER_FIELDS, Limits};
 use super::request::Factory;
 use super::service::Service;
 
-/// Bytes of a response that are collected before they are written in any case.
+/// Size at which buffered response bytes are written even if more are ready.
 const WRITE_BYTES: usize = 64 * 1024;
-/// Longest wait of a stop for those who wait to be accepted.
-const ARRIVE_WAIT: Duration = Duration::from_secs(1);
+/// Longest time that a stop waits until the accept queue is empty.
+const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A server while it serves. Dropped without [`WebServer::stop`], it cuts all
-/// connections and ends in the background.
+/// A running server. Dropping it without [`WebServer::stop`] closes all connections at
+/// once, and its threads end in the background.
 pub struct WebServer {
     address: SocketAddr,
     connections: u32,
@@ -52,7 +52,7 @@
         let connections = u32::try_from(connections).unwrap_or(u32::MAX);
         let shared = Arc::new(Shared {
             permits: Arc::new(Semaphore::new(connections as usize)),
-            refusals: Semaphore::new(REFUSALS),
+            refusals: Semaphore::new(MAX_REFUSALS),
             gate: Arc::new(Gate::open()),
             stop: CancellationToken::new(),
             closed: CancellationToken::new(),
@@ -65,7 +65,7 @@
         let thread = std::thread::Builder::new()
             .name("web-server".to_owned())
             .spawn(move || {
-                // Ends with an error only where `handle` above gives one too.
+                // Fails only in the cases in which `handle` above has failed.
                 let _result = server.wait();
             })
             .context("starting the HTTP server's thread")?;
@@ -78,27 +78,28 @@
         })
     }
 
-    /// Address that it serves on.
+    /// Address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens and closes it to new connections.
+    /// Gate that opens and closes the server to new connections.
     #[must_use]
     pub fn gate(&self) -> Arc<Gate> {
         Arc::clone(&self.shared.gate)
     }
 
-    /// Accepts who waits and no more, closes idle connections, lets requests in flight end within
-    /// `grace`, cuts the rest, and joins the workers.
+    /// Accepts the connections in the accept queue and none after them, closes idle
+    /// connections, lets requests in flight finish within `grace`, closes the remaining
+    /// connections, and joins the workers.
     pub async fn stop(mut self, grace: Duration) {
         self.shared.stop.cancel();
-        // Whoever is accepted after this finds no permit left.
+        // Connections that are accepted after this find no permit.
         let arrived = self.shared.all_arrived();
-        let _late = tokio::time::timeout(ARRIVE_WAIT.min(grace), arrived).await;
+        let _late = tokio::time::timeout(ACCEPT_QUEUE_TIMEOUT.min(grace), arrived).await;
         let all = self.shared.permits.acquire_many(self.connections);
-        // Running out of grace is an outcome like any other: what is left is cut.
+        // When the grace period expires, the remaining connections are closed.
         let _result = tokio::time::timeout(grace, all).await;
         self.shared.abort.cancel();
         self.handle.stop(false);
@@ -134,7 +135,7 @@
 ) -> Builder {
     let config = HttpServiceConfig::new()
         .keep_alive_timeout(limits.idle)
-        // The first deadline of a connection, which the idle time only ever extends.
+        // The first deadline of a connection. The idle timeout can only extend it.
         .tls_accept_timeout(limits.idle.min(limits.head))
         .request_head_timeout(limits.head)
         .max_read_buf_size::<HEADER_BYTES>()
@@ -142,12 +143,12 @@
         .max_request_headers::<HEADER_FIELDS>();
     let factory = Factory {
         service,
-        body: limits.body,
+        body_timeout: limits.body,
     };
     let stack = factory
         .enclosed(HttpServiceBuilder::with_config(config))
-        .enclosed(Layer(Arc::clone(shared)));
-    let bound = Bound {
+        .enclosed(ConnectionLayer(Arc::clone(shared)));
+    let bound = BoundListener {
         listener,
         shared: Arc::clone(shared),
     };
--- a/crates/shell/src/web/service.rs
+++ b/crates/shell/src/web/service.rs
@@ -1,4 +1,4 @@
-//! What a server calls for each request.
+//! The trait that a server calls for each request.
 
 use async_trait::async_trait;
 
@@ -7,14 +7,14 @@
 /// Response of a service.
 pub type Response = http::Response<Body>;
 
-/// Answers requests.
+/// Handler of requests.
 #[async_trait(?Send)]
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request. Dropped in mid-way when the client goes away.
+    /// Answers one request. The future is dropped when the client disconnects.
     async fn call(&self, request: Incoming) -> Response;
 }
 
-/// A service made of an async function.
+/// Creates a service from an async function.
 pub fn service<F, Fut>(call: F) -> impl Service
 where
     F: Fn(Incoming) -> Fut + Send + Sync + 'static,
--- a/crates/shell/tests/admin.rs
+++ b/crates/shell/tests/admin.rs
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn it_dumps_and_changes_the_log_level() {
+async fn dump_status_and_log_level_are_served() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let admin = Admin::listen(listener, Arc::new(State)).unwrap();
     let mut client = Client::open(admin.address()).await;
--- a/crates/shell/tests/cli.rs
+++ b/crates/shell/tests/cli.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use serde::{Deserialize, Serialize};
-use swiftlink_shell::{About, Command, Common, Settings, Shell, UsageError, chain, run_args};
+use swiftlink_shell::{About, Command, Common, Settings, Shell, UsageError, error_chain, run_args};
 
 const ABOUT: About = About {
     name: "swiftlink-test",
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn a_cause_is_named_below_its_error() {
+fn causes_are_listed_below_their_error() {
     let error = anyhow::anyhow!("refused")
         .context("connecting")
         .context("starting");
     let expected = "starting\n\nCaused by:\n    connecting\n    refused";
-    assert_eq!(chain(error.as_ref()), expected);
+    assert_eq!(error_chain(error.as_ref()), expected);
 }
 
 /// Exit codes can only be compared by their debug text.
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn exit_codes_tell_usage_from_failure() {
+fn exit_codes_distinguish_usage_errors_from_failures() {
     let folder = tempfile::tempdir().unwrap();
     let good = folder.path().join("good.toml");
     let text =
@@ -94,7 +94,7 @@
         shell.stopped().await;
         Ok(())
     };
-    let fail = |_settings: Daemon, _shell: Shell| async { anyhow::bail!("no luck") };
+    let fail = |_settings: Daemon, _shell: Shell| async { anyhow::bail!("start failed") };
     let (ok, failure) = (code(ExitCode::SUCCESS), code(ExitCode::FAILURE));
     let usage = code(ExitCode::from(2));
 
--- a/crates/shell/tests/common/mod.rs
+++ b/crates/shell/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Raw TCP clients of a server under test.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Raw TCP client for a server under test.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -9,13 +9,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Serves on a free port.
+/// Starts a server on a free port.
 pub fn serve(limits: Limits, service: impl Service) -> WebServer {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     WebServer::bind(listener, limits, Arc::new(service)).unwrap()
 }
 
-/// One connection, with what was read ahead.
+/// One connection and its read buffer.
 pub struct Client {
     socket: TcpStream,
     buffer: Vec<u8>,
@@ -79,7 +79,7 @@
         self.send(body).await;
     }
 
-    /// Reads a head.
+    /// Reads the status and head of a response.
     pub async fn head(&mut self) -> io::Result<(u16, String)> {
         let end = loop {
             if let Some(at) = self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Whether the server has closed the connection; waits for it to do so or to send.
+    /// Whether the server has closed the connection. Waits until it closes or sends data.
     pub async fn is_closed(&mut self) -> bool {
         self.buffer.is_empty() && self.fill().await.is_err()
     }
--- a/crates/shell/tests/gate.rs
+++ b/crates/shell/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Closing a server to new connections, and opening it again.
+//! Closing a server to new connections, and reopening it.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const LONG: Duration = Duration::from_secs(60);
 const REQUEST: &[u8] = b"GET /again HTTP/1.1\r\nhost: x\r\n\r\n";
 
-/// Answers with method and path.
+/// Responds with method and path.
 async fn echo(request: Incoming) -> Response {
     let line = format!("{} {}", request.method(), request.uri());
     text(StatusCode::OK, line)
--- a/crates/shell/tests/signal.rs
+++ b/crates/shell/tests/signal.rs
@@ -1,4 +1,4 @@
-//! A signal asks a daemon to stop.
+//! SIGTERM and SIGINT request a stop of a daemon.
 
 use std::fs;
 use std::process::ExitCode;
--- a/crates/shell/tests/stream.rs
+++ b/crates/shell/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed responses: flushing, clients that leave, and stops.
+//! Streamed responses: flushing, clients that disconnect, and stops.
 
 mod common;
 
@@ -19,7 +19,8 @@
 
 type Pieces = mpsc::Receiver<Bytes>;
 
-/// Streams what the test sends to it; `/wait` never answers, `/plain` at once.
+/// Streams the pieces that the test sends. `/wait` never responds, `/plain` responds at
+/// once.
 struct Feed {
     pieces: Mutex<Vec<Pieces>>,
     started: mpsc::UnboundedSender<()>,
@@ -27,7 +28,7 @@
     calls: AtomicUsize,
 }
 
-/// Tells the test that a future or stream was dropped.
+/// Notifies the test when a future or stream is dropped.
 struct Dropped(mpsc::UnboundedSender<()>);
 
 impl Drop for Dropped {
@@ -108,7 +109,7 @@
     client.get("/").await;
     assert_eq!(client.head().await.unwrap().0, 200);
     for n in 0..500 {
-        // The next piece exists only once the client has seen this one.
+        // The next piece is sent only after the client has received this one.
         let piece = format!("data: {n}\n\n");
         setup.senders[0]
             .send(Bytes::from(piece.clone()))
@@ -124,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_drops_the_stream() {
+async fn a_disconnect_drops_the_stream() {
     let mut setup = setup(1);
     let mut client = Client::open(setup.server.address()).await;
     client.get("/").await;
@@ -135,14 +136,14 @@
     client.head().await.unwrap();
     client.chunk().await.unwrap();
     drop(client);
-    // No further piece is written, so only a watch on the connection can tell.
+    // No further piece is written, so only watching the connection reveals the close.
     setup.dropped.recv().await.unwrap();
     setup.senders[0].closed().await;
     setup.server.stop(LONG).await;
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_drops_the_call() {
+async fn a_disconnect_drops_the_call() {
     let mut setup = setup(0);
     let mut client = Client::open(setup.server.address()).await;
     client.get("/wait").await;
@@ -153,9 +154,9 @@
 }
 
 #[tokio::test]
-async fn a_client_that_does_not_read_holds_the_stream_back() {
+async fn a_client_that_does_not_read_applies_backpressure() {
     const PIECE: usize = 64 * 1024;
-    /// A piece that isn't taken for so long is held back.
+    /// A piece that is not accepted for this long is held back by flow control.
     const STUCK: Duration = Duration::from_millis(300);
     let setup = setup(1);
     let mut client = Client::open(setup.server.address()).await;
@@ -196,7 +197,7 @@
     idle.answer().await.unwrap();
 
     let stop = tokio::spawn(setup.server.stop(LONG));
-    // The idle connection is closed at once, and no new one is taken.
+    // The idle connection is closed at once, and no new one is accepted.
     assert!(idle.is_closed().await);
     while TcpStream::connect(address).is_ok() {}
     for n in 0..20 {
@@ -213,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_loses_no_byte_of_a_large_answer() {
+async fn a_stop_loses_no_byte_of_a_large_response() {
     let mut setup = setup(1);
     let mut client = Client::open(setup.server.address()).await;
     client.get("/").await;
@@ -234,7 +235,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_cuts_what_outlasts_its_grace() {
+async fn a_stop_closes_streams_after_its_grace_period() {
     let mut setup = setup(1);
     let mut client = Client::open(setup.server.address()).await;
     client.get("/").await;
@@ -245,7 +246,7 @@
 }
 
 #[tokio::test]
-async fn a_dropped_server_ends_by_itself() {
+async fn a_dropped_server_closes_its_connections() {
     let mut setup = setup(1);
     let mut client = Client::open(setup.server.address()).await;
     client.get("/").await;
--- a/crates/shell/tests/web.rs
+++ b/crates/shell/tests/web.rs
@@ -20,7 +20,7 @@
 const BODY_LIMIT: usize = 1_000;
 const LONG: Duration = Duration::from_secs(60);
 
-/// Answers with method, path and body.
+/// Responds with method, path and body.
 async fn echo(mut request: Incoming) -> Response {
     if request.uri().path() == "/ignore" {
         return text(StatusCode::OK, "ignored");
@@ -82,14 +82,14 @@
         answer.header("content-type"),
         Some("application/problem+json")
     );
-    // A little too much is thrown away, so that the connection goes on.
+    // A small excess is discarded, so that the connection stays usable.
     client.post("/", b"again").await;
     assert_eq!(client.answer().await.unwrap().text(), "POST / again");
     server.stop(LONG).await;
 }
 
 #[tokio::test]
-async fn a_client_that_asks_first_is_refused_before_it_sends() {
+async fn expect_continue_is_refused_before_the_body_is_sent() {
     let server = echo_server();
     let mut client = Client::open(server.address()).await;
     let head = "POST / HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\ncontent-length: 5000\r\n\r\n";
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_asks_first_is_told_to_send() {
+async fn expect_continue_gets_100() {
     let server = echo_server();
     let mut client = Client::open(server.address()).await;
     let head = "POST / HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\ncontent-length: 4\r\n\r\n";
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn a_body_that_ends_early_reaches_no_service_as_whole() {
+async fn a_truncated_body_is_never_passed_as_complete() {
     let (sender, mut results) = mpsc::unbounded_channel();
     let server = serve(
         Limits::default(),
@@ -207,7 +207,8 @@
 
 #[tokio::test]
 async fn slow_heads_and_idle_connections_are_closed() {
-    // The server reads its clock every half second, so less would be over at once.
+    // The server reads its clock every half second, so a shorter timeout would expire at
+    // once.
     let short = Duration::from_secs(1);
     let limits = Limits {
         idle: short,
@@ -229,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn responses_without_content_are_framed_so() {
+async fn responses_without_content_are_framed_correctly() {
     let server = serve(
         Limits::default(),
         service(|request: Incoming| async move {
@@ -273,7 +274,7 @@
 }
 
 #[tokio::test]
-async fn connections_are_served_side_by_side() {
+async fn connections_are_served_concurrently() {
     const CLIENTS: usize = 200;
     let waiting = Arc::new(AtomicUsize::new(0));
     let all = Arc::new(tokio::sync::Notify::new());
@@ -309,7 +310,7 @@
 }
 
 #[tokio::test]
-async fn too_many_connections_are_told_so() {
+async fn excess_connections_get_503() {
     let limits = Limits {
         connections: 2,
         ..Limits::default()
@@ -326,11 +327,11 @@
     assert_eq!(answer.status, 503);
     assert_eq!(answer.header("retry-after"), Some("1"));
     drop(first);
-    // The freed place can be used as soon as the server has seen the close.
+    // The permit is free as soon as the server has seen the close.
     loop {
         let mut next = Client::open(server.address()).await;
         next.get("/").await;
-        // An answer that can't be read is that of a refused and closed connection.
+        // An unreadable response means that the connection was refused and closed.
         if next.answer().await.is_ok_and(|answer| answer.status == 200) {
             break;
         }
@@ -339,7 +340,7 @@
     server.stop(LONG).await;
 }
 
-/// Spawns tasks, sleeps and calls itself with a pooled client from within a worker.
+/// Spawns tasks, sleeps, and calls its own server with a pooled client from a worker.
 struct Nested;
 
 #[async_trait::async_trait(?Send)]
@@ -385,7 +386,7 @@
 }
 
 #[tokio::test]
-async fn a_failing_stream_cuts_the_connection() {
+async fn a_failing_stream_closes_the_connection() {
     let server = serve(
         Limits::default(),
         service(|_request: Incoming| async {
@@ -403,10 +404,11 @@
     server.stop(LONG).await;
 }
 
-/// Clients that have connected and sent their request before a stop are answered, also
-/// when no worker has got round to accept them yet.
+/// Closing the listener would reset connections in the accept queue. Clients that have
+/// connected and sent their request before a stop must get a response, even if no worker
+/// has accepted them yet.
 #[tokio::test]
-async fn a_stop_answers_those_who_wait_to_be_accepted() {
+async fn a_stop_answers_connections_in_the_accept_queue() {
     const WAITING: usize = 100;
     let (started, mut is_started) = mpsc::channel::<()>(1);
     let (release, released) = std::sync::mpsc::channel::<()>();
@@ -418,7 +420,8 @@
     let server = serve(
         limits,
         service(move |_request: Incoming| {
-            // The first request holds up the only worker, so that the others wait.
+            // The first request blocks the only worker, so that the others stay in the
+            // accept queue.
             if let Some(released) = released.lock().unwrap().take() {
                 started.try_send(()).unwrap();
                 released.recv().unwrap();
@@ -449,7 +452,7 @@
     assert!(tokio::net::TcpStream::connect(address).await.is_err());
 }
 
-/// A client that has just connected may send its request within a moment.
+/// A client that has just connected has a short time to send its request after a stop.
 #[tokio::test]
 async fn a_stop_leaves_a_new_connection_time_for_its_request() {
     let server = echo_server();
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the routers, and what it was told.
+//! A caller of the routers, and the answers that it receives.
 
 use std::net::SocketAddr;
 
@@ -13,32 +13,32 @@
 
 use crate::http::{CALL_LIMIT, Http, request};
 
-/// Text of the end mark of a streamed answer.
-const DONE: &str = "[DONE]";
+/// Data of the event that ends a streamed answer.
+const DONE_DATA: &str = "[DONE]";
 
-/// One model request as a caller makes it.
+/// One chat request to a model.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Idempotency key; the router makes one when there is none.
+pub struct ChatRequest {
+    /// Idempotency key; the router generates one when there is none.
     pub key: Option<String>,
-    /// Model's name.
+    /// Name of the model.
     pub model: String,
     /// Prompt, sent as one message.
     pub prompt: String,
-    /// Limit of the answer (tokens).
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u64,
-    /// Priority class, unless the standard one.
+    /// Priority class; `None` for the default class.
     pub class: Option<String>,
-    /// May not run twice.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// Wants the answer as a stream.
+    /// Whether the answer is streamed.
     pub stream: bool,
     /// Deadline in ms from now.
     pub deadline_ms: Option<u64>,
 }
 
-impl Ask {
-    /// A whole-answer request of the model `model`.
+impl ChatRequest {
+    /// Creates a request for an unstreamed answer of `model`.
     #[must_use]
     pub fn new(model: &str, prompt: &str) -> Self {
         Self {
@@ -53,28 +53,28 @@
         }
     }
 
-    /// Under this idempotency key.
+    /// Sets the idempotency key.
     #[must_use]
     pub fn with_key(mut self, key: &str) -> Self {
         self.key = Some(key.to_owned());
         self
     }
 
-    /// As a stream.
+    /// Requests a streamed answer.
     #[must_use]
     pub fn streamed(mut self) -> Self {
         self.stream = true;
         self
     }
 
-    /// Not to be run twice.
+    /// Forbids that the request runs more than once.
     #[must_use]
     pub fn once(mut self) -> Self {
         self.once = true;
         self
     }
 
-    /// The request's body.
+    /// Body of the HTTP request.
     #[must_use]
     pub fn body(&self) -> Value {
         json!({
@@ -89,64 +89,64 @@
 /// One event of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Token to resume after this event.
+    /// Resumption token for the position after this event.
     pub id: String,
-    /// Type of the event; `error` when the answer was cut.
+    /// Type of the event; `error` when the answer was cut short.
     pub name: String,
-    /// Data as sent.
+    /// Data of the event, unparsed.
     pub data: String,
 }
 
-/// An answer, whole or as far as it came.
+/// A complete or partial answer.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status; 0 when not even the head came.
+    /// HTTP status; 0 when no response head arrived.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// What the caller was told of the run: `ran`, `not-run`, `unknown`.
+    /// Reported outcome: `ran`, `not-run` or `unknown`.
     pub outcome: Option<String>,
     /// Request key.
     pub key: Option<String>,
-    /// Budget tokens charged, as told.
+    /// Budget tokens charged, as reported.
     pub charged: Option<u64>,
-    /// The answer's text as far as it came.
+    /// Text of the answer received so far.
     pub text: String,
-    /// The body of an answer that is no stream.
+    /// Body of an unstreamed answer.
     pub body: Bytes,
-    /// The events of a streamed answer.
+    /// Events of a streamed answer.
     pub events: Vec<Event>,
-    /// The answer came to its end.
-    pub whole: bool,
+    /// Whether the end of the answer was received.
+    pub is_complete: bool,
 }
 
 impl Answer {
-    /// The body as JSON; null when it is none.
+    /// The body as JSON, or null if it isn't valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// A header's text.
+    /// Value of a header.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Last part of the problem type of a refusal.
+    /// Last component of a refusal's problem type.
     #[must_use]
     pub fn slug(&self) -> Option<String> {
         let kind = self.json().get("type")?.as_str()?.to_owned();
         kind.rsplit(':').next().map(str::to_owned)
     }
 
-    /// A whole answer with a status of success.
+    /// Whether the answer is complete and has a success status.
     #[must_use]
     pub fn is_served(&self) -> bool {
-        self.whole && (200..300).contains(&self.status)
+        self.is_complete && (200..300).contains(&self.status)
     }
 
-    fn of_head(status: u16, headers: HeaderMap) -> Self {
+    fn from_head(status: u16, headers: HeaderMap) -> Self {
         let mut answer = Self {
             status,
             headers,
@@ -161,41 +161,41 @@
         answer
     }
 
-    fn take_event(&mut self, event: Event) {
-        if event.data == DONE {
-            self.whole = true;
+    fn push_event(&mut self, event: Event) {
+        if event.data == DONE_DATA {
+            self.is_complete = true;
         } else if event.name == "error" {
             self.body = Bytes::from(event.data.clone());
             self.outcome = self.json()["outcome"].as_str().map(str::to_owned);
         } else if let Ok(data) = serde_json::from_str::<Value>(&event.data) {
-            self.take_chunk(&data);
+            self.push_chunk(&data);
         }
         self.events.push(event);
     }
 
-    fn take_chunk(&mut self, data: &Value) {
+    fn push_chunk(&mut self, data: &Value) {
         let choice = &data["choices"][0];
         let content = choice["delta"]["content"].as_str();
         self.text
             .push_str(content.or(choice["text"].as_str()).unwrap_or_default());
-        let told = &data["swiftlink"];
-        if let Some(charged) = told["charged"].as_u64() {
+        let report = &data["swiftlink"];
+        if let Some(charged) = report["charged"].as_u64() {
             self.charged = Some(charged);
         }
-        if let Some(outcome) = told["outcome"].as_str() {
+        if let Some(outcome) = report["outcome"].as_str() {
             self.outcome = Some(outcome.to_owned());
         }
-        if let Some(key) = told["key"].as_str() {
+        if let Some(key) = report["key"].as_str() {
             self.key = Some(key.to_owned());
         }
     }
 
-    fn take_body(&mut self, body: Bytes) {
-        self.whole = true;
+    fn set_body(&mut self, body: Bytes) {
+        self.is_complete = true;
         self.body = body;
         let data = self.json();
         if data.get("choices").is_none() {
-            // The answer of a plain service stands as it is.
+            // The answer of a plain service is the body itself.
             self.text = String::from_utf8_lossy(&self.body).into_owned();
             return;
         }
@@ -206,7 +206,7 @@
     }
 }
 
-/// A streamed answer while it comes.
+/// A streamed answer in progress.
 pub struct Streaming {
     answer: Answer,
     events: BoxStream<'static, Option<Event>>,
@@ -221,28 +221,28 @@
 }
 
 impl Streaming {
-    /// The next event; nothing at the end or when the connection breaks.
+    /// Returns the next event, or `None` at the end or when the connection fails.
     pub async fn next(&mut self) -> Option<Event> {
         let event = self.events.next().await??;
-        self.answer.take_event(event.clone());
+        self.answer.push_event(event.clone());
         Some(event)
     }
 
-    /// Reads to the end.
+    /// Reads the rest of the stream and returns the answer.
     pub async fn finish(mut self) -> Answer {
         while self.next().await.is_some() {}
         self.answer
     }
 
-    /// What came until now; closes the connection.
+    /// Closes the connection and returns the answer received so far.
     #[must_use]
-    pub fn leave(self) -> Answer {
+    pub fn disconnect(self) -> Answer {
         self.answer
     }
 
-    /// What came until now.
+    /// The answer received so far.
     #[must_use]
-    pub fn so_far(&self) -> &Answer {
+    pub fn received(&self) -> &Answer {
         &self.answer
     }
 }
@@ -255,7 +255,7 @@
 }
 
 impl Caller {
-    /// A caller with the API key `secret`.
+    /// Creates a caller with the API key `secret`.
     #[must_use]
     pub fn new(secret: &str) -> Self {
         Self {
@@ -264,12 +264,12 @@
         }
     }
 
-    /// A chat request at the router `router`, read to the answer's end. A
-    /// failing connection gives an answer that is not whole.
-    pub async fn ask(&self, router: SocketAddr, ask: &Ask) -> Answer {
-        let request = self.chat(router, ask);
-        if !ask.stream {
-            return self.whole(request).await;
+    /// Sends a chat request to `router` and reads the complete answer. A connection that
+    /// fails gives an incomplete answer.
+    pub async fn ask(&self, router: SocketAddr, chat: &ChatRequest) -> Answer {
+        let request = self.chat_request(router, chat);
+        if !chat.stream {
+            return self.send(request).await;
         }
         match self.stream(request).await {
             Ok(streaming) => streaming.finish().await,
@@ -277,25 +277,25 @@
         }
     }
 
-    /// A streamed chat request.
+    /// Sends a chat request for a streamed answer.
     ///
     /// # Errors
-    /// The answer, when it is no stream.
-    pub async fn begin(&self, router: SocketAddr, ask: &Ask) -> Result<Streaming, Answer> {
-        self.stream(self.chat(router, ask)).await
+    /// The answer, when it is not a stream.
+    pub async fn begin(&self, router: SocketAddr, chat: &ChatRequest) -> Result<Streaming, Answer> {
+        self.stream(self.chat_request(router, chat)).await
     }
 
-    /// Resumes a streamed answer after the event `last` at any router.
+    /// Resumes a streamed answer after the event `last`, at any router.
     ///
     /// # Errors
-    /// The answer, when it is no stream.
+    /// The answer, when it is not a stream.
     pub async fn resume(&self, router: SocketAddr, last: &str) -> Result<Streaming, Answer> {
         let mut request = self.request(Method::GET, router, "/v1/streams", Bytes::new());
         set(&mut request, "last-event-id", last);
         self.stream(request).await
     }
 
-    /// A call of a plain service through a router.
+    /// Calls a plain service through a router.
     pub async fn service(
         &self,
         router: SocketAddr,
@@ -309,10 +309,10 @@
         if let Some(key) = key {
             set(&mut request, "idempotency-key", key);
         }
-        self.whole(request).await
+        self.send(request).await
     }
 
-    /// A request with the caller's API key, to be changed and sent by [`Caller::whole`].
+    /// Builds a request with the caller's API key, for [`Caller::send`].
     #[must_use]
     pub fn request(
         &self,
@@ -330,33 +330,33 @@
         request
     }
 
-    /// Sends a request and reads the whole answer.
-    pub async fn whole(&self, request: Request<Full<Bytes>>) -> Answer {
+    /// Sends a request and reads the complete answer.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Answer {
         let Ok(reply) = self.http.open(request).await else {
             return Answer::default();
         };
         let (head, body) = reply.into_parts();
-        let mut answer = Answer::of_head(head.status.as_u16(), head.headers);
+        let mut answer = Answer::from_head(head.status.as_u16(), head.headers);
         let body = tokio::time::timeout(CALL_LIMIT, body.collect()).await;
         if let Ok(Ok(body)) = body {
-            answer.take_body(body.to_bytes());
+            answer.set_body(body.to_bytes());
         }
         answer
     }
 
-    fn chat(&self, router: SocketAddr, ask: &Ask) -> Request<Full<Bytes>> {
-        let body = Bytes::from(ask.body().to_string());
+    fn chat_request(&self, router: SocketAddr, chat: &ChatRequest) -> Request<Full<Bytes>> {
+        let body = Bytes::from(chat.body().to_string());
         let mut request = self.request(Method::POST, router, "/v1/chat/completions", body);
-        if let Some(key) = &ask.key {
+        if let Some(key) = &chat.key {
             set(&mut request, "idempotency-key", key);
         }
-        if let Some(class) = &ask.class {
+        if let Some(class) = &chat.class {
             set(&mut request, "x-priority", class);
         }
-        if ask.once {
+        if chat.once {
             set(&mut request, "swiftlink-run", "once");
         }
-        if let Some(deadline_ms) = ask.deadline_ms {
+        if let Some(deadline_ms) = chat.deadline_ms {
             set(
                 &mut request,
                 "swiftlink-deadline-ms",
@@ -371,11 +371,11 @@
             return Err(Answer::default());
         };
         let (head, body) = reply.into_parts();
-        let mut answer = Answer::of_head(head.status.as_u16(), head.headers);
+        let mut answer = Answer::from_head(head.status.as_u16(), head.headers);
         let kind = answer.header("content-type").unwrap_or_default();
         if !kind.starts_with("text/event-stream") {
             if let Ok(body) = body.collect().await {
-                answer.take_body(body.to_bytes());
+                answer.set_body(body.to_bytes());
             }
             return Err(answer);
         }
@@ -397,7 +397,7 @@
 /// Sets a header of a request.
 ///
 /// # Panics
-/// When the value can't stand in a header.
+/// When the value is not a valid header value.
 pub fn set(request: &mut Request<Full<Bytes>>, name: &'static str, value: &str) {
     let value = value.parse().context("bad header value");
     let value = value.expect("the headers of tests are well-formed");
--- a/crates/testkit/src/checker/accounts.rs
+++ b/crates/testkit/src/checker/accounts.rs
@@ -1,4 +1,4 @@
-//! The log's side: the fold of the budget streams and each effective charge.
+//! The log's view of a history: the folded budget streams and each effective charge.
 
 use std::collections::BTreeMap;
 
@@ -12,37 +12,37 @@
 
 /// One effective charge.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Charged {
-    /// Tokens run, as the charge says.
+pub struct EffectiveCharge {
+    /// Tokens of the request, as stated in the charge.
     pub tokens: Tokens,
-    /// Budget tokens drawn.
+    /// Budget tokens deducted.
     pub cost: Tokens,
 }
 
-/// One budget as the log decides it.
+/// Totals of one budget according to the log.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Balance {
     /// Sum of all top-ups.
     pub topped_up: Tokens,
-    /// Sum of the effective charges' costs, added up here and not by the fold.
+    /// Sum of the effective charges' costs, computed here independently of the fold.
     pub charged: Tokens,
-    /// Sum of all charges as the fold has it.
+    /// Sum of all charges according to the fold.
     pub folded: Tokens,
 }
 
-/// What the log says.
+/// Charges and budgets according to the log.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Accounts {
     /// Effective charges by workspace and request key.
-    pub charges: BTreeMap<(String, String), Vec<Charged>>,
+    pub charges: BTreeMap<(String, String), Vec<EffectiveCharge>>,
     /// Budgets by name.
     pub budgets: BTreeMap<String, Balance>,
-    /// Records that the fold could not read.
+    /// Number of records that the fold could not decode.
     pub malformed: u64,
 }
 
 impl Accounts {
-    /// Folds the streams from their first records on.
+    /// Folds the streams from their first records.
     #[must_use]
     pub fn fold(streams: &[LogStream]) -> Self {
         let mut accounts = Self::default();
@@ -56,7 +56,7 @@
         let mut fold = Fold::empty();
         for record in &stream.records {
             match fold.apply(record.offset, &record.data) {
-                Step::Fate(batch) => self.take(&record.data, &batch.fates),
+                Step::Fate(batch) => self.add_charges(&record.data, &batch.fates),
                 Step::Snapshot(_chunk) => {}
                 Step::Malformed => self.malformed += 1,
             }
@@ -68,7 +68,7 @@
         }
     }
 
-    fn take(&mut self, data: &[u8], fates: &[Fate]) {
+    fn add_charges(&mut self, data: &[u8], fates: &[Fate]) {
         let Ok(batch) = Batch::decode(data) else {
             return;
         };
@@ -79,27 +79,27 @@
             let Some(fate::Kind::Charges(fate)) = &fate.kind else {
                 continue;
             };
-            self.take_charges(charges, &fate.items);
+            self.add_effective(charges, &fate.items);
         }
     }
 
-    fn take_charges(&mut self, charges: &Charges, fates: &[i32]) {
+    fn add_effective(&mut self, charges: &Charges, fates: &[i32]) {
         for (charge, fate) in charges.items.iter().zip(fates) {
             if *fate == i32::from(ChargeFate::Charged) {
-                self.take_charge(charge);
+                self.add_charge(charge);
             }
         }
     }
 
-    fn take_charge(&mut self, charge: &Charge) {
+    fn add_charge(&mut self, charge: &Charge) {
         let key = RequestKey::from_bytes(&charge.key);
         let key = key.map_or_else(|_error| hex::encode(&charge.key), |key| key.to_string());
-        let charged = Charged {
+        let charged = EffectiveCharge {
             tokens: charge.tokens,
             cost: charge.cost,
         };
-        let place = (charge.workspace.clone(), key);
-        self.charges.entry(place).or_default().push(charged);
+        let account = (charge.workspace.clone(), key);
+        self.charges.entry(account).or_default().push(charged);
         let balance = self.budgets.entry(charge.budget.clone()).or_default();
         balance.charged += charge.cost;
     }
--- a/crates/testkit/src/checker/history.rs
+++ b/crates/testkit/src/checker/history.rs
@@ -1,4 +1,4 @@
-//! What a run of a test left behind, seen from all sides.
+//! The history of a test run, as seen by callers, backend servers and the log.
 
 use swiftlink_standins::engine::Run;
 use swiftlink_wire::log::LogRecord;
@@ -7,46 +7,46 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum End {
-    /// The whole answer came.
-    Whole {
+pub enum CallOutcome {
+    /// The complete answer was received.
+    Complete {
         /// Text of the answer.
         text: String,
-        /// Budget tokens charged, as told.
+        /// Budget tokens charged, as reported to the caller.
         charged: u64,
     },
-    /// The call was refused with `not-run`.
+    /// The call was refused with the outcome `not-run`.
     NotRun,
-    /// The caller was told that the end is not known.
+    /// The call failed with the outcome `unknown`.
     Unknown,
-    /// The connection broke before the answer's end.
-    Cut,
+    /// The connection closed before the end of the answer.
+    Disconnected,
 }
 
-/// One call of a caller. A retry is a call of its own under the same key.
+/// One call of a caller. Each retry is a separate call under the same key.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Call {
     /// Request key.
     pub key: String,
     /// Workspace of the caller.
     pub workspace: String,
-    /// Budget that pays.
+    /// Budget that is charged.
     pub budget: String,
-    /// Price of the class (thousandths).
+    /// Price of the priority class, in thousandths.
     pub price: u32,
-    /// May not run twice.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// Text that a whole answer must have.
+    /// Expected text of a complete answer.
     pub expected: Option<String>,
-    /// Order of sending and answering among all calls of the history.
+    /// Position of the send in the order of all sends and completions of the history.
     pub began: u64,
-    /// See `began`.
+    /// Position of the completion in the same order as `began`.
     pub ended: u64,
-    /// How it ended.
-    pub end: End,
+    /// How the call ended.
+    pub outcome: CallOutcome,
 }
 
-/// All records of one budget stream from offset 0 on.
+/// All records of one budget stream, starting at offset 0.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct LogStream {
     /// Name of the stream.
@@ -55,27 +55,27 @@
     pub records: Vec<LogRecord>,
 }
 
-/// The three sides of one history.
+/// One history: calls, runs on backend servers, and log records.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct History {
-    /// What the callers sent and were told.
+    /// The callers' requests and their results.
     pub calls: Vec<Call>,
-    /// What all engines and services ran.
+    /// Runs on all engines and services.
     pub runs: Vec<Run>,
-    /// What stands on the log.
+    /// Records of the budget streams.
     pub streams: Vec<LogStream>,
 }
 
-impl From<&Answer> for End {
+impl From<&Answer> for CallOutcome {
     fn from(answer: &Answer) -> Self {
         match answer.outcome.as_deref() {
             Some("not-run") => Self::NotRun,
             Some("unknown") => Self::Unknown,
-            _ if answer.is_served() => Self::Whole {
+            _ if answer.is_served() => Self::Complete {
                 text: answer.text.clone(),
                 charged: answer.charged.unwrap_or(0),
             },
-            _ => Self::Cut,
+            _ => Self::Disconnected,
         }
     }
 }
--- a/crates/testkit/src/checker/mod.rs
+++ b/crates/testkit/src/checker/mod.rs
@@ -1,10 +1,10 @@
-//! The history checker: compares what callers were told with what the backend
-//! servers ran and with what the log charged.
+//! The history checker: compares the results that callers received with the runs on the
+//! backend servers and the charges on the log.
 
 mod accounts;
 mod history;
 mod rules;
 
-pub use accounts::{Accounts, Balance, Charged};
-pub use history::{Call, End, History, LogStream};
+pub use accounts::{Accounts, Balance, EffectiveCharge};
+pub use history::{Call, CallOutcome, History, LogStream};
 pub use rules::{Violation, check, check_accounts};
--- a/crates/testkit/src/checker/rules.rs
+++ b/crates/testkit/src/checker/rules.rs
@@ -1,25 +1,25 @@
-//! The rules that every history must keep.
+//! The invariants that every history must satisfy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use swiftlink_standins::engine::Run;
 use swiftlink_types::{Tokens, cost};
 
-use super::accounts::{Accounts, Charged};
-use super::history::{Call, End, History};
+use super::accounts::{Accounts, EffectiveCharge};
+use super::history::{Call, CallOutcome, History};
 
-/// One broken rule.
+/// One violated invariant.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Violation {
-    /// More was spent than prepaid.
+    /// More tokens were spent than prepaid.
     Overspend {
         /// Budget.
         budget: String,
         /// Sum of the top-ups.
         topped_up: Tokens,
-        /// What was spent.
+        /// Tokens spent.
         spent: Tokens,
-        /// Where it was measured: `log` or `servers`.
+        /// Side on which the spending was measured: `log` or `servers`.
         measured: &'static str,
     },
     /// A key has more than one effective charge.
@@ -27,111 +27,111 @@
         /// Request key.
         key: String,
     },
-    /// A whole answer has no effective charge.
+    /// A complete answer has no effective charge.
     MissingCharge {
         /// Request key.
         key: String,
     },
-    /// The charge is not what the caller was told, or not what ran.
+    /// The charge differs from the one reported to the caller, or from the tokens that ran.
     ChargeMismatch {
         /// Request key.
         key: String,
-        /// As told to the caller, or as run by the engine.
+        /// Tokens reported to the caller, or run by the engine.
         expected: Tokens,
-        /// As charged.
+        /// Tokens charged.
         charged: Tokens,
     },
-    /// The caller was told `not-run`, but a run or a charge exists.
+    /// The call was refused with `not-run`, but a run or a charge exists.
     WrongRefusal {
         /// Request key.
         key: String,
     },
-    /// A request that may not run twice ran more than once.
+    /// A request that must not run more than once did.
     SecondRun {
         /// Request key.
         key: String,
-        /// Times that it ran.
+        /// Number of executions.
         executions: u64,
     },
-    /// A whole answer does not have the text that it must have.
+    /// A complete answer has another text than expected.
     WrongBytes {
         /// Request key.
         key: String,
     },
-    /// A record of the log that no fold can read.
+    /// The log has records that the fold cannot decode.
     Malformed {
         /// Number of such records.
         count: u64,
     },
 }
 
-/// Runs of one key over all servers.
+/// Totals of the runs of one key on all servers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ran {
+struct RunTotals {
     seen: u64,
     executions: u64,
     last_tokens: Tokens,
 }
 
-struct Sides<'a> {
+struct Checker<'a> {
     history: &'a History,
     accounts: Accounts,
-    ran: BTreeMap<&'a str, Ran>,
-    found: Vec<Violation>,
+    runs: BTreeMap<&'a str, RunTotals>,
+    violations: Vec<Violation>,
 }
 
-/// All broken rules of a history whose charges have settled.
+/// Returns all violations in a history whose charges have settled.
 #[must_use]
 pub fn check(history: &History) -> Vec<Violation> {
     check_accounts(history, Accounts::fold(&history.streams))
 }
 
-/// As [`check`], with accounts in place of the history's log.
+/// Like [`check`], with `accounts` in account of the history's log.
 #[must_use]
 pub fn check_accounts(history: &History, accounts: Accounts) -> Vec<Violation> {
-    let mut sides = Sides {
+    let mut checker = Checker {
         history,
         accounts,
-        ran: runs_by_key(&history.runs),
-        found: Vec::new(),
+        runs: runs_by_key(&history.runs),
+        violations: Vec::new(),
     };
-    sides.check_log();
-    sides.check_servers();
+    checker.check_log();
+    checker.check_servers();
     for call in &history.calls {
-        sides.check_call(call);
+        checker.check_call(call);
     }
-    sides.check_once();
-    sides.found
+    checker.check_once();
+    checker.violations
 }
 
-fn runs_by_key(runs: &[Run]) -> BTreeMap<&str, Ran> {
-    let mut by_key: BTreeMap<&str, Ran> = BTreeMap::new();
+fn runs_by_key(runs: &[Run]) -> BTreeMap<&str, RunTotals> {
+    let mut by_key: BTreeMap<&str, RunTotals> = BTreeMap::new();
     for run in runs {
-        let ran = by_key.entry(&run.key).or_default();
-        ran.seen += run.seen;
-        ran.executions += run.executions;
-        ran.last_tokens = ran.last_tokens.max(run.last_tokens);
+        let totals = by_key.entry(&run.key).or_default();
+        totals.seen += run.seen;
+        totals.executions += run.executions;
+        totals.last_tokens = totals.last_tokens.max(run.last_tokens);
     }
     by_key
 }
 
-impl Sides<'_> {
+impl Checker<'_> {
     fn check_log(&mut self) {
         if self.accounts.malformed > 0 {
             let count = self.accounts.malformed;
-            self.found.push(Violation::Malformed { count });
+            self.violations.push(Violation::Malformed { count });
         }
         for ((_workspace, key), charges) in &self.accounts.charges {
             if charges.len() > 1 {
                 let key = key.clone();
-                self.found.push(Violation::DoubleCharge { key });
+                self.violations.push(Violation::DoubleCharge { key });
             }
         }
         for (budget, balance) in &self.accounts.budgets {
-            // Counted twice, so that a fault of the fold's sums shows too.
+            // The larger of two independent sums, so that a wrong sum of the fold shows too.
             let spent = balance.charged.max(balance.folded);
             if spent > balance.topped_up {
-                self.found.push(Violation::Overspend {
+                self.violations.push(Violation::Overspend {
                     budget: budget.clone(),
                     topped_up: balance.topped_up,
                     spent,
@@ -141,24 +141,25 @@
         }
     }
 
-    /// What the servers ran for keys that were completed or charged.
+    /// Compares the top-ups with the tokens that servers ran for keys that were completed
+    /// or charged.
     fn check_servers(&mut self) {
         let mut spent: BTreeMap<&str, Tokens> = BTreeMap::new();
         let mut counted = BTreeSet::new();
         for call in &self.history.calls {
-            let whole = matches!(call.end, End::Whole { .. });
-            let place = (call.workspace.as_str(), call.key.as_str());
-            if (!whole && self.charge_of(call).is_none()) || !counted.insert(place) {
+            let is_complete = matches!(call.outcome, CallOutcome::Complete { .. });
+            let account = (call.workspace.as_str(), call.key.as_str());
+            if (!is_complete && self.charge_of(call).is_none()) || !counted.insert(account) {
                 continue;
             }
-            let tokens = self.ran_of(call).last_tokens;
+            let tokens = self.runs_of(call).last_tokens;
             *spent.entry(&call.budget).or_default() += cost(tokens, call.price);
         }
         for (budget, spent) in spent {
             let balance = self.accounts.budgets.get(budget);
             let topped_up = balance.map_or(0, |balance| balance.topped_up);
             if spent > topped_up {
-                self.found.push(Violation::Overspend {
+                self.violations.push(Violation::Overspend {
                     budget: budget.to_owned(),
                     topped_up,
                     spent,
@@ -169,48 +170,50 @@
     }
 
     fn check_call(&mut self, call: &Call) {
-        match &call.end {
-            End::Whole { text, charged } => {
+        match &call.outcome {
+            CallOutcome::Complete { text, charged } => {
                 if call.expected.as_ref().is_some_and(|want| want != text) {
                     let key = call.key.clone();
-                    self.found.push(Violation::WrongBytes { key });
+                    self.violations.push(Violation::WrongBytes { key });
                 }
                 self.check_charge(call, *charged);
             }
-            End::NotRun => self.check_refusal(call),
-            End::Unknown | End::Cut => {}
+            CallOutcome::NotRun => self.check_refusal(call),
+            CallOutcome::Unknown | CallOutcome::Disconnected => {}
         }
     }
 
-    fn check_charge(&mut self, call: &Call, told: Tokens) {
-        let ran = self.ran_of(call);
+    fn check_charge(&mut self, call: &Call, reported: Tokens) {
+        let totals = self.runs_of(call);
         let Some(charge) = self.charge_of(call) else {
-            // A call that costs nothing needs no charge.
-            if told > 0 || ran.last_tokens > 0 {
+            // A call without cost needs no charge.
+            if reported > 0 || totals.last_tokens > 0 {
                 let key = call.key.clone();
-                self.found.push(Violation::MissingCharge { key });
+                self.violations.push(Violation::MissingCharge { key });
             }
             return;
         };
-        if charge.cost != told {
-            self.mismatch(call, told, charge.cost);
+        if charge.cost != reported {
+            self.report_mismatch(call, reported, charge.cost);
         }
-        if ran.last_tokens > 0 && ran.last_tokens != charge.tokens {
-            self.mismatch(call, ran.last_tokens, charge.tokens);
+        if totals.last_tokens > 0 && totals.last_tokens != charge.tokens {
+            self.report_mismatch(call, totals.last_tokens, charge.tokens);
         }
     }
 
     fn check_refusal(&mut self, call: &Call) {
-        let others: Vec<&Call> = self.others(call).collect();
-        let explained = others.iter().any(|other| other.end != End::NotRun);
-        let traces = self.ran_of(call).seen > 0 || self.charge_of(call).is_some();
-        // Whoever was told the whole answer before knows that it ran.
-        let known = others
+        let others: Vec<&Call> = self.other_calls(call).collect();
+        let is_explained = others
             .iter()
-            .any(|other| matches!(other.end, End::Whole { .. }) && other.ended < call.began);
-        if known || (traces && !explained) {
+            .any(|other| other.outcome != CallOutcome::NotRun);
+        let has_traces = self.runs_of(call).seen > 0 || self.charge_of(call).is_some();
+        // A refusal after a complete answer contradicts that answer.
+        let is_known = others.iter().any(|other| {
+            matches!(other.outcome, CallOutcome::Complete { .. }) && other.ended < call.began
+        });
+        if is_known || (has_traces && !is_explained) {
             let key = call.key.clone();
-            self.found.push(Violation::WrongRefusal { key });
+            self.violations.push(Violation::WrongRefusal { key });
         }
     }
 
@@ -220,34 +223,38 @@
             if !call.once || !seen.insert(call.key.as_str()) {
                 continue;
             }
-            let executions = self.ran_of(call).executions;
+            let executions = self.runs_of(call).executions;
             if executions > 1 {
                 let key = call.key.clone();
-                self.found.push(Violation::SecondRun { key, executions });
+                self.violations
+                    .push(Violation::SecondRun { key, executions });
             }
         }
     }
 
-    fn mismatch(&mut self, call: &Call, expected: Tokens, charged: Tokens) {
-        self.found.push(Violation::ChargeMismatch {
+    fn report_mismatch(&mut self, call: &Call, expected: Tokens, charged: Tokens) {
+        self.violations.push(Violation::ChargeMismatch {
             key: call.key.clone(),
             expected,
             charged,
         });
     }
 
-    fn others<'a>(&'a self, call: &'a Call) -> impl Iterator<Item = &'a Call> {
+    fn other_calls<'a>(&'a self, call: &'a Call) -> impl Iterator<Item = &'a Call> {
         let same = |other: &&Call| other.key == call.key && other.workspace == call.workspace;
         let calls = self.history.calls.iter().filter(same);
         calls.filter(move |other| !std::ptr::eq(*other, call))
     }
 
-    fn charge_of(&self, call: &Call) -> Option<Charged> {
-        let place = (call.workspace.clone(), call.key.clone());
-        self.accounts.charges.get(&place)?.first().copied()
+    fn charge_of(&self, call: &Call) -> Option<EffectiveCharge> {
+        let account = (call.workspace.clone(), call.key.clone());
+        self.accounts.charges.get(&account)?.first().copied()
     }
 
-    fn ran_of(&self, call: &Call) -> Ran {
-        self.ran.get(call.key.as_str()).copied().unwrap_or_default()
+    fn runs_of(&self, call: &Call) -> RunTotals {
+        self.runs
+            .get(call.key.as_str())
+            .copied()
+            .unwrap_or_default()
     }
 }
--- a/crates/testkit/src/fleet/daemon.rs
+++ b/crates/testkit/src/fleet/daemon.rs
@@ -1,4 +1,4 @@
-//! A swiftlink daemon with its settings file.
+//! A daemon process with its settings file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,9 +11,9 @@
 use super::standin::Dirs;
 use crate::http::Http;
 use crate::process::Process;
-use crate::until::{PATIENCE, until_within};
+use crate::until::{WAIT_TIMEOUT, until_within};
 
-/// Which daemon a process is.
+/// Kind of a daemon.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Role {
     /// `swiftlink-router`
@@ -36,10 +36,10 @@
     }
 }
 
-/// A daemon that runs, or has run and can be started again.
+/// A daemon that is running, or has stopped and can be restarted.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Its process.
+    /// The daemon's process.
     pub process: Process,
     role: Role,
     name: String,
@@ -50,7 +50,7 @@
 }
 
 impl Daemon {
-    /// Writes the settings and starts the daemon. It may not serve yet.
+    /// Writes the settings and starts the daemon, without waiting until it is ready.
     ///
     /// # Errors
     /// When the file can't be written or the binary can't be started.
@@ -62,7 +62,7 @@
         settings: &toml::Table,
     ) -> anyhow::Result<Self> {
         let file = settings_file(dirs, name);
-        let text = toml::to_string(settings).context("the settings have no TOML form")?;
+        let text = toml::to_string(settings).context("the settings can't be written as TOML")?;
         std::fs::write(&file, text).with_context(|| format!("can't write {}", file.display()))?;
         Ok(Self {
             process: spawn(dirs, role, name)?,
@@ -75,50 +75,51 @@
         })
     }
 
-    /// Name in the fleet, such as `router-0`.
+    /// Name of the daemon in the fleet, such as `router-0`.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it listens for its users.
+    /// Address that the daemon serves its clients on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its admin address.
+    /// Address of the admin endpoint.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Its settings file.
+    /// Path of the settings file.
     #[must_use]
     pub fn settings(&self) -> PathBuf {
         settings_file(&self.dirs, &self.name)
     }
 
-    /// Its status, when it answers.
+    /// Fetches the status; `None` when the daemon does not answer.
     pub async fn status(&self) -> Option<Value> {
         self.admin_json("/status").await
     }
 
-    /// Its dump, when it answers.
+    /// Fetches the state dump; `None` when the daemon does not answer.
     pub async fn dump(&self) -> Option<Value> {
         self.admin_json("/dump").await
     }
 
-    /// Waits until it gives a status and, as a router, has joined all budget streams.
+    /// Waits until the daemon serves its status and, as a router, has joined all budget
+    /// streams.
     ///
     /// # Errors
-    /// When it ends before, or is not ready in time.
+    /// When the process exits, or is not ready in time.
     pub async fn ready(&mut self) -> anyhow::Result<()> {
         let start = std::time::Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < WAIT_TIMEOUT {
             if let Some(status) = self.process.ended() {
                 anyhow::bail!(
-                    "{} ended with {status}: {}",
+                    "{} exited with {status}: {}",
                     self.name,
                     self.process.printed()
                 );
@@ -137,7 +138,7 @@
     /// Waits until the status satisfies `holds`.
     ///
     /// # Errors
-    /// When it does not in time.
+    /// When the time is up.
     pub async fn status_until(
         &self,
         limit: Duration,
@@ -151,13 +152,13 @@
         .await
     }
 
-    /// SIGTERM, and waits for the end.
+    /// Sends SIGTERM and waits up to `limit` for the exit.
     pub async fn stop(&mut self, limit: Duration) -> Option<ExitStatus> {
         self.process.terminate();
         self.process.wait(limit).await
     }
 
-    /// Starts the daemon again with its settings, after its end.
+    /// Kills the daemon if it still runs, and starts it again with the same settings.
     ///
     /// # Errors
     /// When the binary can't be started.
@@ -173,7 +174,7 @@
     }
 }
 
-/// Version of the configuration that a process has in force, by its status.
+/// Returns the version of the active configuration from a process's status.
 #[must_use]
 pub fn version_of(status: &Value) -> u64 {
     let version = status.get("config_version").or(status.get("version"));
@@ -183,14 +184,14 @@
 /// The two addresses that every daemon binds.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For its users.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// For the admin endpoint.
+    /// Address of the admin endpoint.
     pub admin: SocketAddr,
 }
 
 impl Addresses {
-    /// Two reserved addresses.
+    /// Reserves both addresses.
     #[must_use]
     pub fn reserve() -> Self {
         Self {
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of real processes on loopback.
+//! A complete fleet of real processes on loopback.
 
 mod daemon;
 mod net;
@@ -19,29 +19,29 @@
 pub use operator::{Operator, change};
 pub use plan::Plan;
 pub use sample::{CALL_TOKENS, MODEL, SERVICE, Tenant, URGENT_PRICE, pools, server};
-pub use settings::{Place, TOKEN};
+pub use settings::{Location, TOKEN};
 pub use standin::{Dirs, Standin, dir_of};
 
 use crate::caller::Caller;
 use crate::checker::{Call, History};
 use crate::records;
-use crate::until::{PATIENCE, until_within};
+use crate::until::{WAIT_TIMEOUT, until_within};
 use swiftlink_standins::engine::Run;
 
-/// Where one VM's daemons listen.
+/// Location and addresses of one VM's daemons.
 #[derive(Clone, Debug)]
 struct Vm {
-    place: Place,
+    location: Location,
     router: Addresses,
     ledger: Addresses,
 }
 
-/// A running fleet; all its processes are killed when it is dropped.
+/// A running fleet, whose processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform's log.
+    /// Stand-in for the platform's log.
     pub log: Standin,
-    /// The platform's VM list.
+    /// Stand-in for the platform's VM list.
     pub vms: Standin,
     /// Engines of the model pool.
     pub engines: Vec<Standin>,
@@ -55,28 +55,28 @@
     pub operator: Daemon,
     /// A client of the operator daemon.
     pub api: Operator,
-    /// The links between the processes.
+    /// Network links between the processes.
     pub net: Net,
     tenants: Vec<Tenant>,
     shards: u32,
-    // The directory goes last, after the processes that write to it.
+    // Declared last, so that it is dropped after the processes that write to it.
     _work: Arc<TempDir>,
 }
 
 impl Fleet {
-    /// Callers' address of router number `at`.
+    /// Address of the router with index `at` for callers.
     #[must_use]
     pub fn router(&self, at: usize) -> SocketAddr {
         self.routers[at].address()
     }
 
-    /// A caller with the key of the tenant number `at`.
+    /// Creates a caller with the API key of the tenant with index `at`.
     #[must_use]
     pub fn caller(&self, at: usize) -> Caller {
         Caller::new(&self.tenants[at].secret)
     }
 
-    /// The tenant number `at`.
+    /// The tenant with index `at`.
     #[must_use]
     pub fn tenant(&self, at: usize) -> &Tenant {
         &self.tenants[at]
@@ -88,10 +88,10 @@
         self.shards
     }
 
-    /// What all engines and services ran.
+    /// Fetches the runs of all engines and services.
     ///
     /// # Errors
-    /// When one does not answer.
+    /// When a stand-in does not answer.
     pub async fn runs(&self) -> anyhow::Result<Vec<Run>> {
         let mut runs = Vec::new();
         for standin in self.engines.iter().chain(&self.services) {
@@ -100,7 +100,7 @@
         Ok(runs)
     }
 
-    /// The history of `calls` as it stands now.
+    /// Returns the history of `calls` with the current runs and log records.
     ///
     /// # Errors
     /// When a stand-in does not answer.
@@ -112,20 +112,22 @@
         })
     }
 
-    /// Waits until every router has the configuration `version` in force.
+    /// Waits until every router has applied the configuration `version`.
     ///
     /// # Errors
-    /// When one has not in time.
-    pub async fn in_force(&self, version: u64) -> anyhow::Result<()> {
+    /// When a router has not applied it in time.
+    pub async fn wait_for_version(&self, version: u64) -> anyhow::Result<()> {
         for router in &self.routers {
             router
-                .status_until(PATIENCE, "version", |status| version_of(status) >= version)
+                .status_until(WAIT_TIMEOUT, "version", |status| {
+                    version_of(status) >= version
+                })
                 .await?;
         }
         Ok(())
     }
 
-    /// Applies the first configuration and waits until all is ready to serve.
+    /// Applies the initial configuration and waits until all processes are ready.
     async fn prepare(&mut self, servers: Vec<Value>) -> anyhow::Result<()> {
         for ledger in &mut self.ledgers {
             ledger.ready().await?;
@@ -140,25 +142,25 @@
         for router in &mut self.routers {
             router.ready().await?;
         }
-        self.in_force(version).await?;
-        self.paid().await
+        self.wait_for_version(version).await?;
+        self.wait_for_top_ups().await
     }
 
-    /// Waits until the first top-ups stand in the ledgers' folds.
-    async fn paid(&self) -> anyhow::Result<()> {
+    /// Waits until the ledgers have folded the initial top-ups.
+    async fn wait_for_top_ups(&self) -> anyhow::Result<()> {
         for tenant in &self.tenants {
             let prepaid = tenant.prepaid;
-            let paid = |budget: &Value| budget["topped_up"].as_u64() >= Some(prepaid);
+            let is_paid = |budget: &Value| budget["topped_up"].as_u64() >= Some(prepaid);
             if prepaid > 0 {
-                self.api.budget_until(&tenant.name, paid).await?;
+                self.api.budget_until(&tenant.name, is_paid).await?;
             }
         }
         Ok(())
     }
 }
 
-/// Waits until the history of `calls` satisfies `settled`, and gives it. That no new
-/// record came for a while would be no proof, so a test states the condition.
+/// Waits until the history of `calls` satisfies `settled`, and returns it. A pause without
+/// new records proves nothing, so the test states the condition.
 ///
 /// # Errors
 /// When `settled` does not hold in time.
@@ -167,7 +169,7 @@
     calls: Vec<Call>,
     settled: impl Fn(&History) -> bool,
 ) -> anyhow::Result<History> {
-    until_within(PATIENCE, "the charges to settle", async || {
+    until_within(WAIT_TIMEOUT, "the charges to settle", async || {
         let history = fleet.history(calls.clone()).await.ok()?;
         settled(&history).then_some(history)
     })
--- a/crates/testkit/src/fleet/net.rs
+++ b/crates/testkit/src/fleet/net.rs
@@ -1,5 +1,5 @@
-//! The links between the processes of a fleet, each through a relay of its own,
-//! so that a test can cut or freeze any of them.
+//! The network links between the processes of a fleet. Each one passes through its own
+//! relay, so that a test can cut or freeze it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,34 +9,34 @@
 
 use crate::port;
 
-/// All relays by the names of the two ends.
+/// All relays, by the names of the two connected processes.
 #[derive(Debug, Default)]
 pub struct Net {
     relays: BTreeMap<(String, String), Relay>,
-    direct: bool,
+    is_direct: bool,
 }
 
 impl Net {
-    /// A net with relays, or one whose links are all direct and can't be cut.
+    /// Creates a network with relays, or one with direct links, which can't be cut.
     #[must_use]
     pub fn new(relayed: bool) -> Self {
         Self {
             relays: BTreeMap::new(),
-            direct: !relayed,
+            is_direct: !relayed,
         }
     }
 
-    /// The address at which `from` reaches `to`, which listens on `target`.
+    /// Returns the address by which `from` reaches `to`, which listens on `target`.
     ///
     /// # Errors
-    /// When no relay can be started.
+    /// When the relay can't be started.
     pub async fn link(
         &mut self,
         from: &str,
         to: &str,
         target: SocketAddr,
     ) -> anyhow::Result<SocketAddr> {
-        if self.direct {
+        if self.is_direct {
             return Ok(target);
         }
         let relay = Relay::bind(port::any(), target).await;
@@ -46,17 +46,18 @@
         Ok(address)
     }
 
-    /// Turns the switches of the link from `from` to `to`; false when there is none.
+    /// Sets the faults of the link from `from` to `to`. Returns false if there is none.
     pub fn set(&self, from: &str, to: &str, fault: RelayFault) -> bool {
         let relay = self.relays.get(&(from.to_owned(), to.to_owned()));
         relay.map(|relay| relay.set(fault)).is_some()
     }
 
-    /// Turns the switches of all links for whose ends `chosen` holds, and counts them.
-    pub fn set_where(&self, fault: RelayFault, chosen: impl Fn(&str, &str) -> bool) -> usize {
+    /// Sets the faults of all links that `selects` accepts by the names of the two processes.
+    /// Returns their number.
+    pub fn set_where(&self, fault: RelayFault, selects: impl Fn(&str, &str) -> bool) -> usize {
         let mut count = 0;
         for ((from, to), relay) in &self.relays {
-            if !chosen(from, to) {
+            if !selects(from, to) {
                 continue;
             }
             relay.set(fault);
@@ -65,7 +66,7 @@
         count
     }
 
-    /// Cuts all links of the process `name`, and counts them.
+    /// Cuts all links of the process `name`, and returns their number.
     pub fn cut(&self, name: &str) -> usize {
         let fault = RelayFault {
             cut: true,
@@ -74,17 +75,18 @@
         self.set_where(fault, |from, to| from == name || to == name)
     }
 
-    /// Cuts all links for whose ends `chosen` holds, and counts them.
-    pub fn cut_where(&self, chosen: impl Fn(&str, &str) -> bool) -> usize {
+    /// Cuts all links that `selects` accepts by the names of the two processes, and returns
+    /// their number.
+    pub fn cut_where(&self, selects: impl Fn(&str, &str) -> bool) -> usize {
         let fault = RelayFault {
             cut: true,
             freeze: false,
         };
-        self.set_where(fault, chosen)
+        self.set_where(fault, selects)
     }
 
-    /// Mends all links.
-    pub fn mend(&self) {
+    /// Removes the faults of all links.
+    pub fn heal(&self) {
         self.set_where(RelayFault::default(), |_from, _to| true);
     }
 }
--- a/crates/testkit/src/fleet/operator.rs
+++ b/crates/testkit/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a test: changes, and what the log says of budgets.
+//! Client of the operator daemon: applies changes and reads budgets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use crate::http::{Http, Reply, request};
 use crate::until::until;
 
-/// A change of one resource, as the operator interface takes it.
+/// Builds the change of one resource for the operator API.
 #[must_use]
 pub fn change(kind: &str, name: &str, spec: Value) -> Value {
     json!({ "kind": kind, "name": name, "base": null, "delete": false, "spec": spec })
 }
 
-/// The operator has decided that nothing was applied, and invites to come back.
+/// Whether the operator daemon reports that nothing was applied and the set can be retried.
 fn is_not_applied(reply: &Reply) -> bool {
     reply.status == StatusCode::SERVICE_UNAVAILABLE && reply.json()["applied"] == "no"
 }
@@ -31,7 +31,7 @@
 }
 
 impl Operator {
-    /// A client with the operators' credential.
+    /// Creates a client with the operators' bearer token.
     #[must_use]
     pub fn new(address: SocketAddr, token: &str) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends a call and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     /// When the connection fails.
@@ -56,13 +56,13 @@
         self.http.call(request).await
     }
 
-    /// Applies the changes as one set; gives the version. Comes back as long as
-    /// the answer says that nothing was applied yet.
+    /// Applies the changes as one set and returns the version. Retries while the response
+    /// says that nothing was applied.
     ///
     /// # Errors
     /// When the set is not accepted.
     pub async fn apply(&self, changes: Vec<Value>) -> anyhow::Result<u64> {
-        let reply = until("an operator that takes changes", async || {
+        let reply = until("an operator that accepts changes", async || {
             let reply = self.try_apply(changes.clone()).await;
             let again = reply.as_ref().is_ok_and(is_not_applied);
             (!again).then_some(reply)
@@ -77,7 +77,7 @@
         Ok(answer["version"].as_u64().unwrap_or(0))
     }
 
-    /// Applies the changes as one set; gives whatever is answered.
+    /// Applies the changes as one set, without retries, and returns the response.
     ///
     /// # Errors
     /// When the connection fails.
@@ -95,7 +95,7 @@
         self.apply(vec![change("topup", id, spec)]).await
     }
 
-    /// The budget as the ledgers know it.
+    /// Reads the budget as folded by the ledgers.
     ///
     /// # Errors
     /// When the connection fails.
@@ -108,7 +108,7 @@
     /// Waits until the budget satisfies `holds`.
     ///
     /// # Errors
-    /// When it does not in time.
+    /// When the time is up.
     pub async fn budget_until(
         &self,
         name: &str,
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of, and its start.
+//! Composition and start of a fleet.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use super::net::Net;
 use super::operator::Operator;
 use super::sample::{self, Tenant};
-use super::settings::{self, Place, TOKEN};
+use super::settings::{self, Location, TOKEN};
 use super::standin::{Dirs, Standin};
 use super::{Fleet, Vm};
 
-/// Starts are tried anew with other ports so often.
-const TRIES: usize = 3;
+/// Maximum number of attempts to start a fleet, each with other ports.
+const MAX_STARTS: usize = 3;
 
-/// What a fleet is made of.
+/// Composition of a fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
     binaries: PathBuf,
@@ -35,8 +35,8 @@
 }
 
 impl Plan {
-    /// Three VMs in three failure domains, two engines, one service, one tenant
-    /// `lannec` with a million tokens; binaries from the directory `binaries`.
+    /// Plans three VMs in three failure domains, two engines, one service, and the tenant
+    /// `lannec` with a million tokens. The binaries are in the directory `binaries`.
     #[must_use]
     pub fn new(binaries: PathBuf) -> Self {
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Number of VMs, spread over the failure domains.
+    /// Sets the number of VMs and the failure domains that they are spread over.
     #[must_use]
     pub fn vms(mut self, vms: usize, domains: usize) -> Self {
         self.vms = vms;
@@ -62,69 +62,69 @@
         self
     }
 
-    /// Number of engines.
+    /// Sets the number of engines.
     #[must_use]
     pub fn engines(mut self, engines: usize) -> Self {
         self.engines = engines;
         self
     }
 
-    /// Number of plain services.
+    /// Sets the number of plain services.
     #[must_use]
     pub fn services(mut self, services: usize) -> Self {
         self.services = services;
         self
     }
 
-    /// Puts every link between processes through a relay of its own, and each
-    /// backend server behind one.
+    /// Routes every link between processes, and the traffic to each backend server, through
+    /// its own relay.
     #[must_use]
     pub fn relayed(mut self) -> Self {
         self.relayed = true;
         self
     }
 
-    /// Tenants in place of the usual one.
+    /// Replaces the default tenant.
     #[must_use]
     pub fn tenants(mut self, tenants: Vec<Tenant>) -> Self {
         self.tenants = tenants;
         self
     }
 
-    /// Further settings of the routers.
+    /// Adds settings of the routers.
     #[must_use]
     pub fn router(mut self, more: Value) -> Self {
         self.router = more;
         self
     }
 
-    /// Further settings of the ledgers.
+    /// Adds settings of the ledgers.
     #[must_use]
     pub fn ledger(mut self, more: Value) -> Self {
         self.ledger = more;
         self
     }
 
-    /// Further settings of the operator.
+    /// Adds settings of the operator daemon.
     #[must_use]
     pub fn operator(mut self, more: Value) -> Self {
         self.operator = more;
         self
     }
 
-    /// Starts everything, applies the configuration, and waits until it is in
-    /// force on every router. A start that fails is tried anew with other ports.
+    /// Starts all processes, applies the configuration, and waits until every router has
+    /// applied it. When a port is already in use, the start is retried with other ports.
     ///
     /// # Errors
-    /// When the last start failed.
+    /// When the last attempt failed.
     pub async fn start(&self) -> anyhow::Result<Fleet> {
         let mut tried = 1;
         loop {
-            let work = tempfile::tempdir().context("no directory for the run")?;
+            let work = tempfile::tempdir().context("can't create a temporary directory")?;
             let work = Arc::new(work);
             match self.try_start(Arc::clone(&work)).await {
                 Ok(fleet) => return Ok(fleet),
-                Err(error) if tried < TRIES && is_bind(&error) => tried += 1,
+                Err(error) if tried < MAX_STARTS && is_address_in_use(&error) => tried += 1,
                 Err(error) => {
                     print_outputs(work.path());
                     return Err(error);
@@ -138,32 +138,32 @@
             binaries: self.binaries.clone(),
             work: work.path().to_owned(),
         };
-        let mut start = Start {
+        let mut startup = Startup {
             plan: self,
             net: Net::new(self.relayed),
             vms: self.layout(),
             dirs,
         };
-        let log = Standin::start(&start.dirs, "log", "log", &[]).await?;
+        let log = Standin::start(&startup.dirs, "log", "log", &[]).await?;
         let mut args = Vec::new();
-        for vm in &start.vms {
+        for vm in &startup.vms {
             args.push("--vm".to_owned());
-            args.push(format!("{}:{}", vm.place.vm, vm.place.domain));
+            args.push(format!("{}:{}", vm.location.vm, vm.location.domain));
         }
-        let vms = Standin::start(&start.dirs, "vms", "vms", &args).await?;
-        let engines = start.standins("engine", self.engines).await?;
-        let services = start.standins("service", self.services).await?;
+        let vms = Standin::start(&startup.dirs, "vms", "vms", &args).await?;
+        let engines = startup.standins("engine", self.engines).await?;
+        let services = startup.standins("service", self.services).await?;
         let mut ledgers = Vec::new();
         let mut routers = Vec::new();
         for at in 0..self.vms {
-            ledgers.push(start.ledger(at, &log, &vms).await?);
+            ledgers.push(startup.ledger(at, &log, &vms).await?);
         }
         for at in 0..self.vms {
-            routers.push(start.router(at, &vms).await?);
+            routers.push(startup.router(at, &vms).await?);
         }
-        let operator = start.operator(&log).await?;
+        let operator = startup.operator(&log).await?;
         let api = Operator::new(operator.address(), TOKEN);
-        let servers = start.servers(&engines, &services).await?;
+        let servers = startup.servers(&engines, &services).await?;
         let mut fleet = Fleet {
             log,
             vms,
@@ -173,7 +173,7 @@
             routers,
             operator,
             api,
-            net: start.net,
+            net: startup.net,
             tenants: self.tenants.clone(),
             shards: self.shards,
             _work: work,
@@ -185,12 +185,12 @@
     fn layout(&self) -> Vec<Vm> {
         let mut vms = Vec::new();
         for at in 0..self.vms {
-            let place = Place {
+            let location = Location {
                 vm: format!("vm-{at}"),
                 domain: domain(at, self.domains),
             };
             vms.push(Vm {
-                place,
+                location,
                 router: Addresses::reserve(),
                 ledger: Addresses::reserve(),
             });
@@ -199,14 +199,14 @@
     }
 }
 
-struct Start<'a> {
+struct Startup<'a> {
     plan: &'a Plan,
     net: Net,
     vms: Vec<Vm>,
     dirs: Dirs,
 }
 
-impl Start<'_> {
+impl Startup<'_> {
     async fn standins(&self, kind: &str, count: usize) -> anyhow::Result<Vec<Standin>> {
         let mut standins = Vec::new();
         for at in 0..count {
@@ -224,9 +224,13 @@
             let to = format!("ledger-{other}");
             let peer = self.vms[other].clone();
             let address = self.net.link(&name, &to, peer.ledger.listen).await?;
-            peers.push(settings::peer(&peer.place.vm, address, &peer.place.domain));
+            peers.push(settings::peer(
+                &peer.location.vm,
+                address,
+                &peer.location.domain,
+            ));
         }
-        let mut map = settings::common(&vm.place, vm.ledger);
+        let mut map = settings::common(&vm.location, vm.ledger);
         let log = self.net.link(&name, "log", log.address()).await?;
         let list = self.net.link(&name, "vms", vms.address()).await?;
         let more = json!({
@@ -246,10 +250,14 @@
             let to = format!("router-{other}");
             let peer = self.vms[other].clone();
             let address = self.net.link(&name, &to, peer.router.listen).await?;
-            peers.push(settings::peer(&peer.place.vm, address, &peer.place.domain));
+            peers.push(settings::peer(
+                &peer.location.vm,
+                address,
+                &peer.location.domain,
+            ));
         }
         let list = self.net.link(&name, "vms", vms.address()).await?;
-        let mut map = settings::common(&vm.place, vm.router);
+        let mut map = settings::common(&vm.location, vm.router);
         let more = json!({
             "ledgers": ledgers, "peers": peers, "vms": list, "shards": self.plan.shards,
             "service_load": "/_standin/load",
@@ -261,7 +269,7 @@
 
     async fn operator(&mut self, log: &Standin) -> anyhow::Result<Daemon> {
         let name = "operator";
-        let place = self.vms[0].place.clone();
+        let location = self.vms[0].location.clone();
         let addresses = Addresses::reserve();
         let ledgers = self.ledgers(name).await?;
         let log = self.net.link(name, "log", log.address()).await?;
@@ -272,7 +280,7 @@
                 processes.push(json!({ "name": name, "role": role, "admin": admin }));
             }
         }
-        let mut map = settings::common(&place, addresses);
+        let mut map = settings::common(&location, addresses);
         let more = json!({
             "token": TOKEN, "log": log, "ledgers": ledgers, "processes": processes,
         });
@@ -286,7 +294,11 @@
         for (at, vm) in self.vms.clone().iter().enumerate() {
             let to = format!("ledger-{at}");
             let address = self.net.link(from, &to, vm.ledger.listen).await?;
-            ledgers.push(settings::peer(&vm.place.vm, address, &vm.place.domain));
+            ledgers.push(settings::peer(
+                &vm.location.vm,
+                address,
+                &vm.location.domain,
+            ));
         }
         Ok(ledgers)
     }
@@ -328,7 +340,7 @@
     format!("domain-{}", at % domains.max(1))
 }
 
-/// Shows what the processes of a failed start printed.
+/// Prints the output of the processes of a failed start.
 fn print_outputs(work: &Path) {
     let Ok(entries) = std::fs::read_dir(work) else {
         return;
@@ -343,7 +355,7 @@
     }
 }
 
-fn is_bind(error: &anyhow::Error) -> bool {
+fn is_address_in_use(error: &anyhow::Error) -> bool {
     let text = format!("{error:#}");
     text.contains("in use") || text.contains("EADDRINUSE")
 }
--- a/crates/testkit/src/fleet/sample.rs
+++ b/crates/testkit/src/fleet/sample.rs
@@ -1,4 +1,4 @@
-//! The configuration that tests start from.
+//! The initial configuration of tests.
 
 use std::net::SocketAddr;
 
@@ -11,24 +11,24 @@
 pub const MODEL: &str = "annals";
 /// Name of the pool of plain services.
 pub const SERVICE: &str = "viewer";
-/// Cost of one service call (tokens).
+/// Cost of one service call, in tokens.
 pub const CALL_TOKENS: u64 = 3;
-/// Price of the class `urgent` (thousandths).
+/// Price of the priority class `urgent`, in thousandths.
 pub const URGENT_PRICE: u32 = 2_000;
 
-/// A workspace with a budget and an API key of its own.
+/// A workspace with its own budget and API key.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Name of the workspace and of its budget.
     pub name: String,
     /// Secret of its API key.
     pub secret: String,
-    /// First top-up (tokens); 0: none.
+    /// Initial top-up in tokens; 0 for none.
     pub prepaid: u64,
 }
 
 impl Tenant {
-    /// A tenant with this first top-up.
+    /// Creates a tenant with the initial top-up `prepaid`.
     #[must_use]
     pub fn new(name: &str, prepaid: u64) -> Self {
         Self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The changes that declare the tenant.
+    /// Returns the changes that create the tenant.
     #[must_use]
     pub fn changes(&self) -> Vec<Value> {
         let name = &self.name;
@@ -56,7 +56,7 @@
     }
 }
 
-/// The classes and pools that all tests use.
+/// Returns the changes that create the priority classes and pools of all tests.
 #[must_use]
 pub fn pools() -> Vec<Value> {
     vec![
@@ -75,7 +75,7 @@
     ]
 }
 
-/// A backend server of a pool.
+/// Returns the change that creates a backend server of a pool.
 #[must_use]
 pub fn server(pool: &str, name: &str, address: SocketAddr, domain: &str) -> Value {
     let spec = json!({ "pool": pool, "address": address, "domain": domain, "vm": name });
--- a/crates/testkit/src/fleet/settings.rs
+++ b/crates/testkit/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the daemons.
+//! Contents of the daemons' settings files.
 
 use std::net::SocketAddr;
 
@@ -6,32 +6,32 @@
 
 use super::daemon::Addresses;
 
-/// Secret that the processes of a fleet share.
+/// Shared secret of the processes of a fleet.
 const SECRET: &str = "testkit-secret-of-the-fleet";
-/// Credential of the operators.
+/// Bearer token of the operators.
 pub const TOKEN: &str = "testkit-token-of-operators";
 
-/// What all daemons of a VM have in common.
+/// Location of a VM's daemons.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     /// Name of the VM.
     pub vm: String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub domain: String,
 }
 
-/// A link to another process as it stands in the settings.
+/// Builds the settings entry of a peer process.
 #[must_use]
 pub fn peer(name: &str, address: SocketAddr, domain: &str) -> Value {
     json!({ "name": name, "address": address, "domain": domain })
 }
 
-/// The settings that every daemon has.
+/// Builds the settings that all daemons share.
 #[must_use]
-pub fn common(place: &Place, addresses: Addresses) -> Map<String, Value> {
+pub fn common(location: &Location, addresses: Addresses) -> Map<String, Value> {
     let Value::Object(map) = json!({
-        "vm": place.vm,
-        "domain": place.domain,
+        "vm": location.vm,
+        "domain": location.domain,
         "admin": addresses.admin,
         "listen": addresses.listen,
         "secret": SECRET,
@@ -42,7 +42,7 @@
     map
 }
 
-/// Adds the entries of `more`, in place of equal ones.
+/// Adds the entries of `more`, which replace those with equal keys.
 pub fn merge(settings: &mut Map<String, Value>, more: &Value) {
     let Value::Object(more) = more else {
         return;
@@ -52,10 +52,10 @@
     }
 }
 
-/// The settings as TOML.
+/// Converts the settings to TOML.
 ///
 /// # Errors
-/// When a value has no TOML form.
+/// When a value can't be represented in TOML.
 pub fn to_toml(settings: Map<String, Value>) -> anyhow::Result<toml::Table> {
     Ok(toml::Table::try_from(settings)?)
 }
--- a/crates/testkit/src/fleet/standin.rs
+++ b/crates/testkit/src/fleet/standin.rs
@@ -1,4 +1,4 @@
-//! A stand-in process and its switches.
+//! A stand-in process and its fault switches.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,10 +13,10 @@
 use crate::process::Process;
 use crate::until::until;
 
-/// What the stand-ins print before their address.
+/// Prefix of the output line in which a stand-in prints its address.
 const LISTENING: &str = "listening=";
 
-/// Where binaries are found and files are put.
+/// Directories of the binaries and of a run's files.
 #[derive(Clone, Debug)]
 pub struct Dirs {
     /// Directory of the binaries.
@@ -26,13 +26,13 @@
 }
 
 impl Dirs {
-    /// Path of a binary.
+    /// Path of the binary `name`.
     #[must_use]
     pub fn binary(&self, name: &str) -> PathBuf {
         self.binaries.join(name)
     }
 
-    /// Path of a file of the run.
+    /// Path of the file `name` of the run.
     #[must_use]
     pub fn file(&self, name: &str) -> PathBuf {
         self.work.join(name)
@@ -42,7 +42,7 @@
 /// A running stand-in.
 #[derive(Debug)]
 pub struct Standin {
-    /// Its process.
+    /// The stand-in's process.
     pub process: Process,
     address: SocketAddr,
     http: Http,
@@ -52,7 +52,7 @@
     /// Starts the binary `standin-{kind}` and waits until it serves.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When the process does not start.
     pub async fn start(
         dirs: &Dirs,
         kind: &str,
@@ -62,10 +62,10 @@
         Self::start_at(dirs, kind, name, port::any(), args).await
     }
 
-    /// As [`Standin::start`], at a given address.
+    /// Like [`Standin::start`], at a given address.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When the process does not start.
     pub async fn start_at(
         dirs: &Dirs,
         kind: &str,
@@ -79,7 +79,7 @@
         let output = dirs.file(&format!("{name}.out"));
         let mut process = Process::spawn(name, &binary, &words, &output)?;
         let address = until(name, async || printed_address(&mut process)).await?;
-        let address = address.with_context(|| format!("{name} ended: {}", process.printed()))?;
+        let address = address.with_context(|| format!("{name} exited: {}", process.printed()))?;
         Ok(Self {
             process,
             address,
@@ -87,26 +87,26 @@
         })
     }
 
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Turns the switches that the JSON object names.
+    /// Sets the fault switches that the JSON object names.
     ///
     /// # Errors
-    /// When it refuses, or does not answer.
+    /// When the stand-in refuses, or does not answer.
     pub async fn set(&self, switches: Value) -> anyhow::Result<()> {
         self.send(Method::PUT, "/_standin/fault", switches)
             .await
             .map(drop)
     }
 
-    /// Sends a JSON body and gives the JSON answer.
+    /// Sends a JSON body and returns the JSON response.
     ///
     /// # Errors
-    /// When it refuses, or does not answer.
+    /// When the stand-in refuses, or does not answer.
     pub async fn send(&self, method: Method, path: &str, body: Value) -> anyhow::Result<Value> {
         let reply = self.http.send(method, self.address, path, &body).await?;
         let name = self.process.name();
@@ -114,41 +114,41 @@
         Ok(reply.json())
     }
 
-    /// Gives the JSON answer of a path.
+    /// Returns the JSON response to a GET of `path`.
     ///
     /// # Errors
-    /// When it does not answer.
+    /// When the stand-in does not answer.
     pub async fn get(&self, path: &str) -> anyhow::Result<Value> {
         Ok(self.http.get(self.address, path).await?.json())
     }
 
-    /// What an engine or a service ran, one entry per request key.
+    /// Fetches the runs of an engine or a service, one entry per request key.
     ///
     /// # Errors
-    /// When it does not answer.
+    /// When the stand-in does not answer.
     pub async fn runs(&self) -> anyhow::Result<Vec<Run>> {
         let runs = self.get("/_standin/runs").await?;
-        serde_json::from_value(runs).context("no list of runs")
+        serde_json::from_value(runs).context("the response is not a list of runs")
     }
 }
 
-/// The printed address; an end before it shows as an inner `None`.
+/// Returns the printed address, or `Some(None)` if the process exited without printing it.
 fn printed_address(process: &mut Process) -> Option<Option<SocketAddr>> {
     for line in process.printed().lines() {
         if let Some(address) = line.strip_prefix(LISTENING) {
-            // A line that is still being written does not parse.
+            // A partially written line does not parse.
             return address.parse().ok().map(Some);
         }
     }
     process.ended().map(|_status| None)
 }
 
-/// The directory that holds the binary at `path`.
+/// Returns the directory of the binary at `path`.
 ///
 /// # Panics
 /// When the path has no parent.
 #[must_use]
 pub fn dir_of(path: &str) -> PathBuf {
     let dir = Path::new(path).parent();
-    dir.expect("a binary lies in a directory").to_owned()
+    dir.expect("the path of a binary has a parent").to_owned()
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,9 +1,9 @@
 //! Support for the test suite: process control and the history checker.
 //!
-//! [`fleet::Plan`] starts the stand-ins and the daemons as real processes on
-//! loopback; [`caller::Caller`] speaks to the routers as callers do;
-//! [`recorder::Recorder`] keeps what they were told; [`checker::check`] compares
-//! that with what ran and with what the log charged.
+//! [`fleet::Plan`] starts the stand-ins and the daemons as real processes on loopback;
+//! [`caller::Caller`] sends requests to the routers; [`recorder::Recorder`] records the
+//! results; [`checker::check`] compares them with the runs on the backend servers and the
+//! charges on the log.
 
 pub mod caller;
 pub mod checker;
--- a/crates/testkit/src/port.rs
+++ b/crates/testkit/src/port.rs
@@ -1,19 +1,19 @@
-//! Ports for the processes of a test, from a range that the system never hands
-//! out by itself, so that a restarted process can bind its old port again.
+//! Ports for the processes of a test, from a range outside the system's ephemeral ports,
+//! so that a restarted process can bind its old port again.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// First port of the range; the system's own range starts above its end.
+/// First port of the range; the ephemeral ports start above its end.
 const FIRST: u32 = 12_000;
 /// Number of ports in the range.
 const COUNT: u32 = 20_000;
-/// Distance between the starts of two test processes with adjacent pids.
+/// Distance between the first ports of two test processes with adjacent pids.
 const STRIDE: u32 = 331;
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address that nothing listens on, given once per process.
+/// Returns a loopback address that nothing listens on, each one once per process.
 ///
 /// # Panics
 /// When no port of the whole range is free.
@@ -32,7 +32,7 @@
     panic!("no free port from {FIRST} on");
 }
 
-/// Loopback with a port that the system chooses.
+/// Returns the loopback address with a port that the system chooses.
 #[must_use]
 pub fn any() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: start, signals, end.
+//! A child process: start, signals and exit.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -9,10 +9,10 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// How often an ending process is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval between checks for the exit of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A child process; killed by its pid when dropped.
+/// A child process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -21,7 +21,7 @@
 }
 
 impl Process {
-    /// Starts `binary`; what it prints goes to the file `output`.
+    /// Starts `binary` with stdout and stderr appended to the file `output`.
     ///
     /// # Errors
     /// When the binary can't be started.
@@ -48,46 +48,46 @@
         })
     }
 
-    /// Name in the fleet.
+    /// Name of the process in the fleet.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// What the process has printed until now.
+    /// The process's output so far.
     #[must_use]
     pub fn printed(&self) -> String {
         std::fs::read_to_string(&self.output).unwrap_or_default()
     }
 
-    /// Whether the process has ended, and how.
+    /// Exit status, if the process has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
-        // An error means that it has ended already.
+        // An error means that the process has exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&mut self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// SIGSTOP: the process stands still until [`Process::thaw`].
+    /// Sends SIGSTOP, which suspends the process until [`Process::thaw`].
     pub fn freeze(&mut self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn thaw(&mut self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Waits up to `limit` for the end of the process.
+    /// Waits up to `limit` for the exit of the process.
     pub async fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
         let start = Instant::now();
         loop {
@@ -97,17 +97,17 @@
             if start.elapsed() > limit {
                 return None;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     fn signal(&mut self, signal: Signal) {
-        // A child that was waited for has given its pid back.
+        // The pid of a child that was waited for may belong to another process.
         if self.ended().is_some() {
             return;
         }
         let pid = i32::try_from(self.child.id()).expect("a pid fits");
-        // The child has not been waited for, so its pid is its own.
+        // The child has not been waited for, so the pid is still its own.
         kill(Pid::from_raw(pid), signal).expect("a child can be signalled");
     }
 }
--- a/crates/testkit/src/recorder.rs
+++ b/crates/testkit/src/recorder.rs
@@ -1,29 +1,29 @@
-//! Records what callers send and are told, in one order.
+//! Records the callers' requests and their results in one total order.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::caller::Answer;
-use crate::checker::{Call, End};
+use crate::checker::{Call, CallOutcome};
 
-/// What is known of a call before it is sent.
+/// Attributes of a request that are known before it is request.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct RequestInfo {
     /// Request key.
     pub key: String,
     /// Workspace of the caller.
     pub workspace: String,
-    /// Budget that pays.
+    /// Budget that is charged.
     pub budget: String,
-    /// Price of the class (thousandths).
+    /// Price of the priority class, in thousandths.
     pub price: u32,
-    /// May not run twice.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// Text that a whole answer must have.
+    /// Expected text of a complete answer.
     pub expected: Option<String>,
 }
 
-/// Collects the calls of many callers at once.
+/// Collects the calls of concurrent callers.
 #[derive(Debug, Default)]
 pub struct Recorder {
     clock: AtomicU64,
@@ -31,36 +31,36 @@
 }
 
 impl Recorder {
-    /// Records one call around `send`, and returns its answer.
-    pub async fn record(&self, sent: Sent, send: impl Future<Output = Answer>) -> Answer {
+    /// Awaits `send`, records it as one call, and returns its answer.
+    pub async fn record(&self, request: RequestInfo, send: impl Future<Output = Answer>) -> Answer {
         let began = self.tick();
         let answer = send.await;
-        self.note(sent, began, End::from(&answer));
+        self.note(request, began, CallOutcome::from(&answer));
         answer
     }
 
-    /// The next place in the order of events.
+    /// Returns the next position in the order of events.
     pub fn tick(&self) -> u64 {
         self.clock.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// Records a call that began at `began` and ends now.
-    pub fn note(&self, sent: Sent, began: u64, end: End) {
+    /// Records a call that began at position `began` and ends now.
+    pub fn note(&self, request: RequestInfo, began: u64, outcome: CallOutcome) {
         let call = Call {
-            key: sent.key,
-            workspace: sent.workspace,
-            budget: sent.budget,
-            price: sent.price,
-            once: sent.once,
-            expected: sent.expected,
+            key: request.key,
+            workspace: request.workspace,
+            budget: request.budget,
+            price: request.price,
+            once: request.once,
+            expected: request.expected,
             began,
             ended: self.tick(),
-            end,
+            outcome,
         };
         self.calls.lock().expect("no holder panics").push(call);
     }
 
-    /// The calls that have ended until now.
+    /// The calls that have ended so far.
     pub fn calls(&self) -> Vec<Call> {
         self.calls.lock().expect("no holder panics").clone()
     }
--- a/crates/testkit/src/records.rs
+++ b/crates/testkit/src/records.rs
@@ -1,4 +1,4 @@
-//! Reads the log's stand-in directly, without the code under test.
+//! Reads the stand-in of the log directly, without the code under test.
 
 use std::net::SocketAddr;
 
@@ -8,13 +8,13 @@
 use crate::checker::LogStream;
 use crate::http::Http;
 
-/// Records asked for at once.
+/// Maximum number of records per request.
 const PAGE: u32 = 1_000;
 
-/// All records that the log still keeps of one stream.
+/// Reads all retained records of one stream.
 ///
 /// # Errors
-/// When the log does not answer, or has dropped the first records.
+/// When the log does not answer, or has trimmed the first records.
 pub async fn read(log: SocketAddr, name: &str) -> anyhow::Result<Vec<LogRecord>> {
     let http = Http::new();
     let mut records = Vec::new();
@@ -33,10 +33,10 @@
     }
 }
 
-/// All records of the budget streams.
+/// Reads all records of the budget streams.
 ///
 /// # Errors
-/// Those of [`read`].
+/// Same as for [`read`].
 pub async fn read_all(log: SocketAddr, shards: u32) -> anyhow::Result<Vec<LogStream>> {
     let mut streams = Vec::new();
     for shard in 0..shards {
--- a/crates/testkit/src/spare.rs
+++ b/crates/testkit/src/spare.rs
@@ -1,4 +1,4 @@
-//! Further daemons beside those that a fleet starts with.
+//! Additional daemons for a running fleet.
 
 use std::path::Path;
 
@@ -6,19 +6,19 @@
 
 use crate::fleet::{Addresses, Daemon, Dirs, Fleet, Operator, Role, TOKEN};
 
-/// Starts a second operator daemon with the settings of the fleet's own, but at
-/// addresses of its own and with a direct link to the log, and waits until it is ready.
+/// Starts a second operator daemon and waits until it is ready. It has the settings of the
+/// fleet's own operator, except for its addresses and a direct connection to the log.
 ///
 /// # Errors
-/// When it does not start.
+/// When the daemon does not start.
 pub async fn operator(
     fleet: &Fleet,
     binaries: &Path,
     name: &str,
 ) -> anyhow::Result<(Daemon, Operator)> {
     let file = fleet.operator.settings();
-    let text = std::fs::read_to_string(&file).context("no settings to start from")?;
-    let mut settings: toml::Table = text.parse().context("the settings are no TOML")?;
+    let text = std::fs::read_to_string(&file).context("the operator's settings can't be read")?;
+    let mut settings: toml::Table = text.parse().context("the settings aren't valid TOML")?;
     let addresses = Addresses::reserve();
     let places = [
         ("listen", addresses.listen),
@@ -30,7 +30,10 @@
     }
     let dirs = Dirs {
         binaries: binaries.to_owned(),
-        work: file.parent().context("a file has a directory")?.to_owned(),
+        work: file
+            .parent()
+            .context("the settings file has no directory")?
+            .to_owned(),
     };
     let mut daemon = Daemon::start(&dirs, Role::Operator, name, addresses, &settings)?;
     daemon.ready().await?;
--- a/crates/testkit/src/traffic.rs
+++ b/crates/testkit/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests of all kinds at once, drawn from a seed.
+//! Concurrent callers that send random requests of all kinds, generated from a seed.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,45 +10,45 @@
 use swiftlink_types::{PRICE_UNIT, RequestKey, wall_ms};
 use tokio::task::JoinHandle;
 
-use crate::caller::{Answer, Ask, Caller};
+use crate::caller::{Answer, Caller, ChatRequest};
 use crate::fleet::{Fleet, MODEL, SERVICE};
-use crate::recorder::{Recorder, Sent};
-use crate::rounds::Draw;
+use crate::recorder::{Recorder, RequestInfo};
+use crate::rounds::SeededRng;
 
-/// Different parcels that are asked for.
-const NUMBERS: u64 = 1_000_000;
+/// Number of different parcels in the requests.
+const PARCELS: u64 = 1_000_000;
 
-/// What the callers send, and how.
+/// Load that the callers generate.
 #[derive(Clone, Debug)]
-pub struct Mix {
-    /// Callers at once.
+pub struct TrafficOptions {
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// Number of the tenant that they belong to.
+    /// Index of the callers' tenant.
     pub tenant: usize,
-    /// Share of the requests that may not run twice (percent).
+    /// Percentage of requests that must not run more than once.
     pub once: u64,
-    /// Share of the requests that go to the plain services (percent).
+    /// Percentage of requests to the plain services.
     pub service: u64,
-    /// Longest answer asked for (tokens).
+    /// Maximum length of the requested answers, in tokens.
     pub tokens: u64,
-    /// Tries of one request, each at another router.
+    /// Maximum number of attempts per request, each at another router.
     pub tries: usize,
-    /// Time after which a caller gives a try up.
-    pub patience: Duration,
-    /// Deadline that the caller sets (ms).
+    /// Timeout of one attempt.
+    pub try_timeout: Duration,
+    /// Deadline in the request, in ms.
     pub deadline_ms: Option<u64>,
-    /// Pause of a caller between two requests.
+    /// Delay of a caller between two requests.
     pub pause: Duration,
 }
 
-impl Default for Mix {
+impl Default for TrafficOptions {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Mix {
-    /// Eight patient callers of all kinds that try each request once.
+impl TrafficOptions {
+    /// Eight callers with a long timeout that send requests of all kinds once each.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -58,25 +58,25 @@
             service: 30,
             tokens: 12,
             tries: 1,
-            patience: Duration::from_secs(30),
+            try_timeout: Duration::from_secs(30),
             deadline_ms: None,
             pause: Duration::from_millis(5),
         }
     }
 }
 
-/// One try and its answer.
+/// One attempt and its answer.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct AttemptRecord {
     /// Request key.
     pub key: String,
-    /// Number of the router that was asked.
+    /// Index of the router that got the request.
     pub router: usize,
-    /// What it answered; status 0 when nothing came.
+    /// The router's answer; status 0 when there was none.
     pub answer: Answer,
 }
 
-/// Running callers; [`Traffic::stop`] joins them.
+/// Running callers, which [`Traffic::stop`] joins.
 #[derive(Debug)]
 pub struct Traffic {
     shared: Arc<Shared>,
@@ -85,117 +85,128 @@
 
 #[derive(Debug)]
 struct Shared {
-    mix: Mix,
+    options: TrafficOptions,
     caller: Caller,
     name: String,
     routers: Vec<SocketAddr>,
     recorder: Arc<Recorder>,
-    told: Mutex<Vec<Told>>,
+    attempts: Mutex<Vec<AttemptRecord>>,
     stop: AtomicBool,
 }
 
-/// One drawn request.
+/// One generated request.
 #[derive(Debug)]
-enum Wish {
-    Model(Ask),
+enum GeneratedRequest {
+    Model(ChatRequest),
     Service { method: Method, body: String },
 }
 
 impl Traffic {
-    /// Starts the callers at all routers of `fleet`; their calls go to `recorder`.
+    /// Starts callers that use all routers of `fleet` and record their calls in `recorder`.
     #[must_use]
-    pub fn start(fleet: &Fleet, recorder: &Arc<Recorder>, draw: &mut Draw, mix: &Mix) -> Self {
+    pub fn start(
+        fleet: &Fleet,
+        recorder: &Arc<Recorder>,
+        rng: &mut SeededRng,
+        options: &TrafficOptions,
+    ) -> Self {
         let shared = Arc::new(Shared {
-            mix: mix.clone(),
-            caller: fleet.caller(mix.tenant),
-            name: fleet.tenant(mix.tenant).name.clone(),
+            options: options.clone(),
+            caller: fleet.caller(options.tenant),
+            name: fleet.tenant(options.tenant).name.clone(),
             routers: (0..fleet.routers.len())
                 .map(|at| fleet.router(at))
                 .collect(),
             recorder: Arc::clone(recorder),
-            told: Mutex::default(),
+            attempts: Mutex::default(),
             stop: AtomicBool::new(false),
         });
         let mut tasks = Vec::new();
-        for _caller in 0..mix.callers {
-            tasks.push(tokio::spawn(Arc::clone(&shared).run(draw.fork())));
+        for _caller in 0..options.callers {
+            tasks.push(tokio::spawn(Arc::clone(&shared).run(rng.fork())));
         }
         Self { shared, tasks }
     }
 
-    /// The tries that have ended until now.
+    /// The attempts that have ended so far.
     #[must_use]
-    pub fn told(&self) -> Vec<Told> {
-        self.shared.told().clone()
+    pub fn attempts(&self) -> Vec<AttemptRecord> {
+        self.shared.attempts().clone()
     }
 
-    /// Number of whole answers until now.
+    /// Number of complete answers so far.
     #[must_use]
     pub fn served(&self) -> usize {
-        let told = self.shared.told();
-        told.iter().filter(|told| told.answer.is_served()).count()
+        let attempts = self.shared.attempts();
+        attempts
+            .iter()
+            .filter(|attempt| attempt.answer.is_served())
+            .count()
     }
 
-    /// Lets the requests in flight end; gives all tries.
+    /// Lets the requests in flight finish and returns all attempts.
     ///
     /// # Panics
     /// When a caller panicked.
-    pub async fn stop(self) -> Vec<Told> {
+    pub async fn stop(self) -> Vec<AttemptRecord> {
         self.shared.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             task.await.expect("the callers do not panic");
         }
-        self.shared.told().clone()
+        self.shared.attempts().clone()
     }
 }
 
 impl Shared {
-    fn told(&self) -> MutexGuard<'_, Vec<Told>> {
-        self.told.lock().expect("no holder panics")
+    fn attempts(&self) -> MutexGuard<'_, Vec<AttemptRecord>> {
+        self.attempts.lock().expect("no holder panics")
     }
 
     fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    async fn run(self: Arc<Self>, mut draw: Draw) {
+    async fn run(self: Arc<Self>, mut rng: SeededRng) {
         while !self.is_stopped() {
-            let wish = self.wish(&mut draw);
-            let first = draw.index(self.routers.len());
-            self.ask(&wish, first).await;
-            tokio::time::sleep(self.mix.pause).await;
+            let generated = self.generate(&mut rng);
+            let first = rng.index(self.routers.len());
+            self.run_request(&generated, first).await;
+            tokio::time::sleep(self.options.pause).await;
         }
     }
 
-    fn wish(&self, draw: &mut Draw) -> Wish {
-        let once = draw.chance(self.mix.once);
-        let number = draw.below(NUMBERS);
-        if draw.chance(self.mix.service) {
+    fn generate(&self, rng: &mut SeededRng) -> GeneratedRequest {
+        let once = rng.chance(self.options.once);
+        let number = rng.below(PARCELS);
+        if rng.chance(self.options.service) {
             let method = if once { Method::POST } else { Method::GET };
             let body = format!("{{\"parcel\":{number}}}");
-            return Wish::Service { method, body };
+            return GeneratedRequest::Service { method, body };
         }
-        let tokens = 1 + draw.below(self.mix.tokens);
-        let mut ask = Ask::new(MODEL, &format!("parcel {number} tokens={tokens}"));
-        ask.once = once;
-        ask.stream = draw.chance(50);
-        ask.deadline_ms = self.mix.deadline_ms;
-        Wish::Model(ask)
+        let tokens = 1 + rng.below(self.options.tokens);
+        let mut chat = ChatRequest::new(MODEL, &format!("parcel {number} tokens={tokens}"));
+        chat.once = once;
+        chat.stream = rng.chance(50);
+        chat.deadline_ms = self.options.deadline_ms;
+        GeneratedRequest::Model(chat)
     }
 
-    /// Tries one request under one key until it is answered whole.
-    async fn ask(&self, wish: &Wish, first: usize) {
+    /// Sends one request under one key until an attempt gets a complete answer.
+    async fn run_request(&self, generated: &GeneratedRequest, first: usize) {
         let key = RequestKey::generate(wall_ms()).to_string();
-        for step in 0..self.mix.tries {
+        for step in 0..self.options.tries {
             let router = (first + step) % self.routers.len();
             let send = async {
-                let call = self.send(wish, &key, router);
-                let ended = tokio::time::timeout(self.mix.patience, call).await;
+                let call = self.send(generated, &key, router);
+                let ended = tokio::time::timeout(self.options.try_timeout, call).await;
                 ended.unwrap_or_default()
             };
-            let answer = self.recorder.record(self.sent(wish, &key), send).await;
+            let answer = self
+                .recorder
+                .record(self.request_info(generated, &key), send)
+                .await;
             let is_served = answer.is_served();
-            self.told().push(Told {
+            self.attempts().push(AttemptRecord {
                 key: key.clone(),
                 router,
                 answer,
@@ -206,11 +217,13 @@
         }
     }
 
-    async fn send(&self, wish: &Wish, key: &str, router: usize) -> Answer {
+    async fn send(&self, generated: &GeneratedRequest, key: &str, router: usize) -> Answer {
         let router = self.routers[router];
-        match wish {
-            Wish::Model(ask) => self.caller.ask(router, &ask.clone().with_key(key)).await,
-            Wish::Service { method, body } => {
+        match generated {
+            GeneratedRequest::Model(chat) => {
+                self.caller.ask(router, &chat.clone().with_key(key)).await
+            }
+            GeneratedRequest::Service { method, body } => {
                 let path = format!("/services/{SERVICE}/parcels");
                 let caller = &self.caller;
                 caller
@@ -220,15 +233,17 @@
         }
     }
 
-    fn sent(&self, wish: &Wish, key: &str) -> Sent {
-        let (once, expected) = match wish {
-            Wish::Model(ask) => (ask.once, engine::answer(&ask.prompt, ask.max_tokens)),
-            Wish::Service { method, body } => {
+    fn request_info(&self, generated: &GeneratedRequest, key: &str) -> RequestInfo {
+        let (once, expected) = match generated {
+            GeneratedRequest::Model(chat) => {
+                (chat.once, engine::answer(&chat.prompt, chat.max_tokens))
+            }
+            GeneratedRequest::Service { method, body } => {
                 let echo = service::echo(method.as_str(), "/parcels", body);
                 (*method == Method::POST, echo.to_string())
             }
         };
-        Sent {
+        RequestInfo {
             key: key.to_owned(),
             workspace: self.name.clone(),
             budget: self.name.clone(),
--- a/crates/testkit/src/until.rs
+++ b/crates/testkit/src/until.rs
@@ -1,37 +1,37 @@
-//! Waiting for a condition by looking again, never for a fixed time.
+//! Waiting for a condition by polling instead of sleeping for a fixed time.
 
 use std::time::{Duration, Instant};
 
-/// How often a condition is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// A condition that holds in the end does so long before this.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Interval between polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Default timeout, far above the time that any condition needs.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `look` gives something; an error after [`PATIENCE`].
+/// Polls until `poll` returns a value, for at most [`WAIT_TIMEOUT`].
 ///
 /// # Errors
-/// Names `what` was waited for.
-pub async fn until<T>(what: &str, look: impl AsyncFnMut() -> Option<T>) -> anyhow::Result<T> {
-    until_within(PATIENCE, what, look).await
+/// When the time is up; the message names `what` was awaited.
+pub async fn until<T>(what: &str, poll: impl AsyncFnMut() -> Option<T>) -> anyhow::Result<T> {
+    until_within(WAIT_TIMEOUT, what, poll).await
 }
 
-/// Waits up to `limit` until `look` gives something.
+/// Polls until `poll` returns a value, for at most `limit`.
 ///
 /// # Errors
-/// Names `what` was waited for.
+/// When the time is up; the message names `what` was awaited.
 pub async fn until_within<T>(
     limit: Duration,
     what: &str,
-    mut look: impl AsyncFnMut() -> Option<T>,
+    mut poll: impl AsyncFnMut() -> Option<T>,
 ) -> anyhow::Result<T> {
     let start = Instant::now();
     loop {
-        if let Some(found) = look().await {
-            return Ok(found);
+        if let Some(value) = poll().await {
+            return Ok(value);
         }
         if start.elapsed() > limit {
-            anyhow::bail!("waited {limit:?} in vain for {what}");
+            anyhow::bail!("timed out after {limit:?} waiting for {what}");
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/testkit/src/versions.rs
+++ b/crates/testkit/src/versions.rs
@@ -1,4 +1,4 @@
-//! Watches the configuration in force on many processes at once.
+//! Watches the active configuration versions of many processes.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,84 +10,84 @@
 use crate::http::Http;
 use crate::until::until_within;
 
-/// Between two looks at one process.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two polls of one process.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is known of one process since its last start.
+/// Observed state of one process since its last start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    start: u64,
+struct Observed {
+    starts: u64,
     version: u64,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    known: Mutex<BTreeMap<String, Known>>,
-    back: Mutex<Vec<String>>,
+    observed: Mutex<BTreeMap<String, Observed>>,
+    regressions: Mutex<Vec<String>>,
 }
 
-/// Looks at the status of all processes until it is dropped.
+/// Polls the status of all processes until it is dropped.
 #[derive(Debug)]
 pub struct Versions {
     shared: Arc<Shared>,
-    _looks: JoinSet<()>,
+    _polls: JoinSet<()>,
 }
 
 impl Versions {
-    /// Starts to look at `daemons`.
+    /// Starts polling `daemons`.
     #[must_use]
     pub fn watch<'a>(daemons: impl IntoIterator<Item = &'a Daemon>) -> Self {
         let shared = Arc::<Shared>::default();
-        let mut looks = JoinSet::new();
+        let mut polls = JoinSet::new();
         for daemon in daemons {
             let name = daemon.name().to_owned();
-            shared.known().insert(name.clone(), Known::default());
+            shared.observed().insert(name.clone(), Observed::default());
             let (shared, admin) = (Arc::clone(&shared), daemon.admin());
-            looks.spawn(async move {
+            polls.spawn(async move {
                 loop {
-                    shared.look(&name, admin).await;
-                    tokio::time::sleep(LOOK).await;
+                    shared.poll(&name, admin).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             });
         }
         Self {
             shared,
-            _looks: looks,
+            _polls: polls,
         }
     }
 
-    /// Kills the process and starts it again with nothing kept.
+    /// Kills the process, forgets its version, and starts it again.
     ///
     /// # Errors
     /// When it can't be started.
     pub fn replace(&self, daemon: &mut Daemon) -> anyhow::Result<()> {
         daemon.process.kill();
-        let mut known = self.shared.known();
-        let known = known.entry(daemon.name().to_owned()).or_default();
-        // A look that began before does not count for the new process.
-        known.start += 1;
-        known.version = 0;
+        let mut observed = self.shared.observed();
+        let observed = observed.entry(daemon.name().to_owned()).or_default();
+        // A poll that began earlier must not count for the new process.
+        observed.starts += 1;
+        observed.version = 0;
         daemon.restart()
     }
 
-    /// Waits until all processes that `chosen` names have `version` in force; gives
-    /// the time since `since` and the last process.
+    /// Waits until all processes that `selects` accepts have applied `version`. Returns the
+    /// time since `since` and the last process.
     ///
     /// # Errors
-    /// When one has not in time.
+    /// When a process has not applied it in time.
     pub async fn reach(
         &self,
         version: u64,
         since: Instant,
-        chosen: impl Fn(&str) -> bool,
+        selects: impl Fn(&str) -> bool,
     ) -> anyhow::Result<(Duration, String)> {
         let mut last = "each process".to_owned();
         let what = format!("version {version} everywhere");
-        let reached = until_within(crate::until::PATIENCE, &what, async || {
-            let known = self.shared.known();
-            let mut behind = known
+        let reached = until_within(crate::until::WAIT_TIMEOUT, &what, async || {
+            let observed = self.shared.observed();
+            let mut behind = observed
                 .iter()
-                .filter(|(name, known)| chosen(name) && known.version < version);
+                .filter(|(name, observed)| selects(name) && observed.version < version);
             if let Some((name, _known)) = behind.next() {
                 last.clone_from(name);
                 return None;
@@ -99,30 +99,37 @@
         Ok((time, last))
     }
 
-    /// The version that the process showed last.
+    /// Version that the process reported last.
     #[must_use]
     pub fn of(&self, name: &str) -> u64 {
-        let known = self.shared.known();
-        known.get(name).map_or(0, |known| known.version)
+        let observed = self.shared.observed();
+        observed.get(name).map_or(0, |observed| observed.version)
     }
 
-    /// Every time that a process went back, in words.
+    /// Descriptions of all cases in which a process went back to an older version.
     ///
     /// # Panics
-    /// When a look panicked.
+    /// When a poll panicked.
     #[must_use]
-    pub fn went_back(&self) -> Vec<String> {
-        self.shared.back.lock().expect("no holder panics").clone()
+    pub fn regressions(&self) -> Vec<String> {
+        self.shared
+            .regressions
+            .lock()
+            .expect("no holder panics")
+            .clone()
     }
 }
 
 impl Shared {
-    fn known(&self) -> MutexGuard<'_, BTreeMap<String, Known>> {
-        self.known.lock().expect("no holder panics")
+    fn observed(&self) -> MutexGuard<'_, BTreeMap<String, Observed>> {
+        self.observed.lock().expect("no holder panics")
     }
 
-    async fn look(&self, name: &str, admin: std::net::SocketAddr) {
-        let start = self.known().get(name).map_or(0, |known| known.start);
+    async fn poll(&self, name: &str, admin: std::net::SocketAddr) {
+        let starts = self
+            .observed()
+            .get(name)
+            .map_or(0, |observed| observed.starts);
         let Ok(reply) = Http::new().get(admin, "/status").await else {
             return;
         };
@@ -130,15 +137,18 @@
             return;
         }
         let version = version_of(&reply.json());
-        let mut known = self.known();
-        let known = known.entry(name.to_owned()).or_default();
-        if known.start != start {
+        let mut observed = self.observed();
+        let observed = observed.entry(name.to_owned()).or_default();
+        if observed.starts != starts {
             return;
         }
-        if version < known.version {
-            let line = format!("{name}: from {} to {version}", known.version);
-            self.back.lock().expect("no holder panics").push(line);
+        if version < observed.version {
+            let line = format!("{name}: from {} to {version}", observed.version);
+            self.regressions
+                .lock()
+                .expect("no holder panics")
+                .push(line);
         }
-        known.version = version;
+        observed.version = version;
     }
 }
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -1,9 +1,10 @@
-//! The history checker: a clean history passes, each planted fault is flagged.
+//! The history checker: a valid history passes, and each injected fault is reported.
 
 use prost::Message as _;
 use swiftlink_standins::engine::Run;
 use swiftlink_testkit::checker::{
-    Accounts, Call, Charged, End, History, LogStream, Violation, check, check_accounts,
+    Accounts, Call, CallOutcome, EffectiveCharge, History, LogStream, Violation, check,
+    check_accounts,
 };
 use swiftlink_types::RequestKey;
 use swiftlink_wire::log::{
@@ -36,7 +37,7 @@
     })
 }
 
-/// A stream on which `budget` is prepaid and granted whole to the router.
+/// A stream on which `budget` is prepaid and granted completely to the router.
 fn stream(budget: &str, more: Vec<record::Kind>) -> LogStream {
     let mut kinds = vec![
         record::Kind::TopUp(TopUp {
@@ -78,7 +79,7 @@
     }
 }
 
-fn call(key: RequestKey, end: End) -> Call {
+fn call(key: RequestKey, outcome: CallOutcome) -> Call {
     Call {
         key: key.to_string(),
         workspace: WORKSPACE.to_owned(),
@@ -88,12 +89,12 @@
         expected: Some(TEXT.to_owned()),
         began: 0,
         ended: 1,
-        end,
+        outcome,
     }
 }
 
-fn whole() -> End {
-    End::Whole {
+fn complete() -> CallOutcome {
+    CallOutcome::Complete {
         text: TEXT.to_owned(),
         charged: TOKENS,
     }
@@ -112,11 +113,11 @@
     }
 }
 
-/// One request that was served, charged and answered as it should be.
-fn clean() -> (RequestKey, History) {
+/// One request that was served, charged and answered correctly.
+fn valid_history() -> (RequestKey, History) {
     let key = RequestKey::generate(1_000);
     let history = History {
-        calls: vec![call(key, whole())],
+        calls: vec![call(key, complete())],
         runs: vec![run(key)],
         streams: vec![stream("b", vec![charge(key, "b", TOKENS, 1)])],
     };
@@ -124,17 +125,17 @@
 }
 
 #[test]
-fn a_clean_history_passes() {
-    let (_key, mut history) = clean();
+fn a_valid_history_passes() {
+    let (_key, mut history) = valid_history();
     let other = RequestKey::generate(2_000);
-    history.calls.push(call(other, End::NotRun));
+    history.calls.push(call(other, CallOutcome::NotRun));
     assert_eq!(check(&history), []);
 }
 
 #[test]
-fn a_retry_after_a_true_refusal_passes() {
-    let (key, mut history) = clean();
-    let mut refused = call(key, End::NotRun);
+fn a_retry_after_a_correct_refusal_passes() {
+    let (key, mut history) = valid_history();
+    let mut refused = call(key, CallOutcome::NotRun);
     refused.ended = 0;
     history.calls[0].began = 1;
     history.calls.insert(0, refused);
@@ -142,9 +143,12 @@
 }
 
 #[test]
-fn an_unknown_end_may_be_either() {
-    let (key, mut history) = clean();
-    history.calls = vec![call(key, End::Unknown), call(key, End::Cut)];
+fn an_unknown_outcome_may_be_charged_or_not() {
+    let (key, mut history) = valid_history();
+    history.calls = vec![
+        call(key, CallOutcome::Unknown),
+        call(key, CallOutcome::Disconnected),
+    ];
     assert_eq!(check(&history), []);
     history.streams = vec![stream("b", Vec::new())];
     assert_eq!(check(&history), []);
@@ -152,7 +156,7 @@
 
 #[test]
 fn overspend_at_the_servers() {
-    let (_key, mut history) = clean();
+    let (_key, mut history) = valid_history();
     history.runs[0].last_tokens = PREPAID + 1;
     let found = check(&history);
     let overspend = Violation::Overspend {
@@ -166,7 +170,7 @@
 
 #[test]
 fn overspend_on_the_log() {
-    let (_key, history) = clean();
+    let (_key, history) = valid_history();
     let mut accounts = Accounts::fold(&history.streams);
     let balance = accounts.budgets.get_mut("b").expect("it is prepaid");
     assert_eq!(
@@ -185,8 +189,8 @@
 
 #[test]
 fn a_double_charge() {
-    // The fold voids a second charge on one stream; two streams can't see each other.
-    let (key, mut history) = clean();
+    // The fold voids a second charge on the same stream, but does not see other streams.
+    let (key, mut history) = valid_history();
     history
         .streams
         .push(stream("c", vec![charge(key, "c", TOKENS, 2)]));
@@ -196,10 +200,10 @@
 
 #[test]
 fn a_double_charge_by_a_broken_fold() {
-    let (key, history) = clean();
+    let (key, history) = valid_history();
     let mut accounts = Accounts::fold(&history.streams);
     let charges = accounts.charges.values_mut().next().expect("one charge");
-    charges.push(Charged {
+    charges.push(EffectiveCharge {
         tokens: TOKENS,
         cost: TOKENS,
     });
@@ -211,8 +215,8 @@
 }
 
 #[test]
-fn a_second_copy_of_a_charge_is_no_double() {
-    let (key, mut history) = clean();
+fn a_repeated_record_of_a_charge_is_accepted() {
+    let (key, mut history) = valid_history();
     let again = vec![charge(key, "b", TOKENS, 1), charge(key, "b", TOKENS, 1)];
     history.streams = vec![stream("b", again)];
     assert_eq!(check(&history), []);
@@ -220,16 +224,16 @@
 
 #[test]
 fn a_missing_charge() {
-    let (key, mut history) = clean();
+    let (key, mut history) = valid_history();
     history.streams = vec![stream("b", Vec::new())];
     let key = key.to_string();
     assert_eq!(check(&history), [Violation::MissingCharge { key }]);
 }
 
 #[test]
-fn a_charge_that_the_caller_was_not_told() {
-    let (key, mut history) = clean();
-    history.calls[0].end = End::Whole {
+fn a_charge_that_differs_from_the_reported_one() {
+    let (key, mut history) = valid_history();
+    history.calls[0].outcome = CallOutcome::Complete {
         text: TEXT.to_owned(),
         charged: TOKENS - 1,
     };
@@ -243,7 +247,7 @@
 
 #[test]
 fn a_charge_for_more_than_ran() {
-    let (key, mut history) = clean();
+    let (key, mut history) = valid_history();
     history.runs[0].last_tokens = TOKENS - 3;
     let mismatch = Violation::ChargeMismatch {
         key: key.to_string(),
@@ -254,27 +258,27 @@
 }
 
 #[test]
-fn a_refusal_of_what_ran() {
-    let (key, mut history) = clean();
-    history.calls[0].end = End::NotRun;
+fn a_refusal_of_a_request_that_ran() {
+    let (key, mut history) = valid_history();
+    history.calls[0].outcome = CallOutcome::NotRun;
     history.streams = vec![stream("b", Vec::new())];
     let key = key.to_string();
     assert_eq!(check(&history), [Violation::WrongRefusal { key }]);
 }
 
 #[test]
-fn a_refusal_of_what_was_charged() {
-    let (key, mut history) = clean();
-    history.calls[0].end = End::NotRun;
+fn a_refusal_of_a_charged_request() {
+    let (key, mut history) = valid_history();
+    history.calls[0].outcome = CallOutcome::NotRun;
     history.runs.clear();
     let key = key.to_string();
     assert_eq!(check(&history), [Violation::WrongRefusal { key }]);
 }
 
 #[test]
-fn a_refusal_after_the_whole_answer() {
-    let (key, mut history) = clean();
-    let mut late = call(key, End::NotRun);
+fn a_refusal_after_the_complete_answer() {
+    let (key, mut history) = valid_history();
+    let mut late = call(key, CallOutcome::NotRun);
     (late.began, late.ended) = (2, 3);
     history.calls.push(late);
     let key = key.to_string();
@@ -283,8 +287,8 @@
 
 #[test]
 fn a_second_run_of_a_once_request() {
-    let (key, mut history) = clean();
-    // Two servers, each of which ran it once.
+    let (key, mut history) = valid_history();
+    // Two servers ran the request once each.
     history.runs.push(run(key));
     assert_eq!(check(&history), []);
     history.calls[0].once = true;
@@ -296,16 +300,16 @@
 }
 
 #[test]
-fn wrong_bytes() {
-    let (key, mut history) = clean();
+fn wrong_text() {
+    let (key, mut history) = valid_history();
     history.calls[0].expected = Some("parcel brook".to_owned());
     let key = key.to_string();
     assert_eq!(check(&history), [Violation::WrongBytes { key }]);
 }
 
 #[test]
-fn a_record_that_no_fold_reads() {
-    let (_key, mut history) = clean();
+fn a_malformed_record() {
+    let (_key, mut history) = valid_history();
     let offset = history.streams[0].records.len() as u64;
     let data = vec![0xff; 9];
     history.streams[0].records.push(LogRecord { offset, data });
--- a/standins/src/cli.rs
+++ b/standins/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line and life of a stand-in process.
+//! Command line and main loop of a stand-in process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,12 +12,12 @@
 
 use crate::host::{Host, Standin};
 
-/// What tells one stand-in's command line from another's.
+/// Name, description and options of a stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct About {
     /// Name of the binary.
     pub name: &'static str,
-    /// One line on what it stands in for.
+    /// Description in one line.
     pub about: &'static str,
     /// Adds the options besides `--listen` and `--help`.
     pub options: fn(&mut Options),
@@ -31,7 +31,7 @@
     /// Address to listen on; port 0 lets the system choose.
     ///
     /// # Errors
-    /// When it is missing or no address.
+    /// When it is missing or not an address.
     pub fn listen(&self) -> anyhow::Result<SocketAddr> {
         self.need("listen")
     }
@@ -39,7 +39,7 @@
     /// The option's value, or `default` when it is not given.
     ///
     /// # Errors
-    /// When it can't be read as a `T`.
+    /// When it can't be parsed.
     pub fn get<T: FromStr>(&self, name: &str, default: T) -> anyhow::Result<T> {
         let Some(text) = self.0.opt_str(name) else {
             return Ok(default);
@@ -50,17 +50,17 @@
     /// The value of an option that must be given.
     ///
     /// # Errors
-    /// When it is missing or can't be read as a `T`.
+    /// When it is missing or can't be parsed.
     pub fn need<T: FromStr>(&self, name: &str) -> anyhow::Result<T> {
         let text = self.0.opt_str(name);
         let text = text.with_context(|| format!("--{name} is missing"))?;
         parse(name, &text)
     }
 
-    /// Serves `standin` on `--listen`; `--seed` drives the faults' draws.
+    /// Serves `standin` on `--listen`. `--seed` initializes the generator for random faults.
     ///
     /// # Errors
-    /// When an option can't be read or the address can't be bound.
+    /// When an option can't be parsed or the address can't be bound.
     pub fn host(
         &self,
         standin: Arc<dyn Standin>,
@@ -78,11 +78,11 @@
 
 fn parse<T: FromStr>(name: &str, text: &str) -> anyhow::Result<T> {
     let value = text.parse().ok();
-    value.with_context(|| format!("--{name}: can't read {text:?}"))
+    value.with_context(|| format!("--{name}: invalid value {text:?}"))
 }
 
-/// Runs a stand-in until SIGTERM or SIGINT: parses the command line, starts the
-/// host, and prints `listening=ADDR` once it accepts connections.
+/// Runs a stand-in until SIGTERM or SIGINT. Parses the command line, starts the host, and
+/// prints `listening=ADDR` once it accepts connections.
 pub fn run<F>(about: About, start: F) -> ExitCode
 where
     F: AsyncFnOnce(Args) -> anyhow::Result<Host>,
@@ -107,7 +107,7 @@
             return ExitCode::from(2);
         }
     };
-    match live(start, Args(matches)) {
+    match run_until_signal(start, Args(matches)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}: {error:#}", about.name);
@@ -116,7 +116,7 @@
     }
 }
 
-fn live<F>(start: F, args: Args) -> anyhow::Result<()>
+fn run_until_signal<F>(start: F, args: Args) -> anyhow::Result<()>
 where
     F: AsyncFnOnce(Args) -> anyhow::Result<Host>,
 {
@@ -126,8 +126,10 @@
         .build()
         .context("can't start the runtime")?;
     runtime.block_on(async {
-        let mut term = signal(SignalKind::terminate()).context("can't watch SIGTERM")?;
-        let mut int = signal(SignalKind::interrupt()).context("can't watch SIGINT")?;
+        let mut term =
+            signal(SignalKind::terminate()).context("can't install the SIGTERM handler")?;
+        let mut int =
+            signal(SignalKind::interrupt()).context("can't install the SIGINT handler")?;
         let host = start(args).await?;
         println!("listening={}", host.address());
         tokio::select! {
--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -1,5 +1,5 @@
-//! Continuous batching in a simple form: each step gives one token to every
-//! request that has a slot. No I/O; time is an argument.
+//! Simple continuous batching: each step generates tokens for every request that has a
+//! slot. Without I/O; time is an argument.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,75 +10,75 @@
 /// Number of a stream within one engine process.
 pub type StreamNo = u64;
 
-/// A request as the batch takes it.
+/// A request to the batch.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Job {
-    /// Request key that the router sent; empty when there was none.
+    /// Request key from the router; empty when there is none.
     pub key: String,
-    /// Model that was asked for.
+    /// Name of the requested model.
     pub model: String,
     /// Prompt text.
     pub prompt: String,
-    /// Most tokens to answer with.
+    /// Maximum number of answer tokens.
     pub max_tokens: u64,
-    /// Higher first.
+    /// Priority; higher ones get a slot first.
     pub priority: u32,
 }
 
-/// Where a stream stands.
+/// State of a stream.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// No slot yet; nothing has run.
+    /// Has no slot yet; nothing has run.
     Waiting,
     /// Has a slot.
     Running,
-    /// Ran to its end.
+    /// Ran to completion.
     Finished,
     /// Was cancelled.
     Cancelled,
 }
 
-/// One request in the batch or kept after its end.
+/// A request in the batch, or retained after its end.
 #[derive(Clone, Debug)]
 pub struct Stream {
     /// The request.
     pub job: Job,
-    /// Where it stands.
+    /// State of the request.
     pub phase: Phase,
-    /// Tokens of the answer so far.
+    /// Number of answer tokens generated so far.
     pub done: u64,
-    /// Tokens of the whole answer.
+    /// Number of tokens of the complete answer.
     pub length: u64,
     ended_ms: u64,
 }
 
-/// What the engine ran for one request key, over all its executions.
+/// Totals of one request key over all its executions.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct Run {
     /// Request key.
     pub key: String,
     /// `model` at an engine, `service` at a plain service.
     pub kind: String,
-    /// Prompt tokens run, over all executions.
+    /// Prompt tokens processed, over all executions.
     pub prompt_tokens: u64,
-    /// Answer tokens run, over all executions.
+    /// Answer tokens generated, over all executions.
     pub completion_tokens: u64,
-    /// Times that the request was begun.
+    /// Number of started executions.
     pub executions: u64,
-    /// Times that the request arrived and was taken.
+    /// Number of times that the request was accepted.
     pub seen: u64,
-    /// An execution ran to its end.
+    /// Whether an execution ran to completion.
     pub finished: bool,
-    /// Prompt and answer tokens of the newest execution that ran to its end.
+    /// Prompt and answer tokens of the latest execution that ran to completion.
     pub last_tokens: u64,
 }
 
-/// Counters that a load report gives.
+/// Counters of a load report.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Load {
-    /// Requests that have a slot.
+    /// Number of requests that have a slot.
     pub running: u64,
-    /// Requests that wait for one.
+    /// Number of requests that wait for a slot.
     pub waiting: u64,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl Batch {
-    /// Queues a request and returns its stream's number.
+    /// Queues a request and returns the number of its stream.
     pub fn submit(&mut self, job: Job) -> StreamNo {
         self.last += 1;
         let no = self.last;
@@ -116,8 +116,8 @@
         no
     }
 
-    /// Fills free slots and gives each running request up to `tokens` tokens.
-    /// Returns whether anything is still to be done.
+    /// Fills free slots and generates up to `tokens` tokens for each running request.
+    /// Returns whether any request is running or waiting.
     pub fn step(&mut self, now_ms: u64, slots: usize, tokens: u64) -> bool {
         self.admit(slots);
         for no in self.running.clone() {
@@ -126,7 +126,7 @@
         !self.running.is_empty() || !self.waiting.is_empty()
     }
 
-    /// Ends a stream early; false when it is unknown or has ended.
+    /// Cancels a stream. Returns false when it is unknown or has ended.
     pub fn cancel(&mut self, no: StreamNo, now_ms: u64) -> bool {
         let Some(stream) = self.streams.get_mut(&no) else {
             return false;
@@ -142,7 +142,7 @@
         true
     }
 
-    /// Forgets streams that ended more than `keep_ms` ago.
+    /// Drops streams that ended more than `keep_ms` ago.
     pub fn sweep(&mut self, now_ms: u64, keep_ms: u64) {
         self.streams.retain(|_no, stream| {
             let live = matches!(stream.phase, Phase::Waiting | Phase::Running);
@@ -150,13 +150,13 @@
         });
     }
 
-    /// The stream, while it is kept.
+    /// Returns the stream while it is retained.
     #[must_use]
     pub fn stream(&self, no: StreamNo) -> Option<&Stream> {
         self.streams.get(&no)
     }
 
-    /// Requests with and without a slot.
+    /// Counts the requests with and without a slot.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// What ran, one entry per request key.
+    /// Returns the totals of each request key.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.runs.values().cloned().collect()
