--- a/standins/src/engine/core.rs
+++ b/standins/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The running engine: the batch, its stepping task and its load report.
+//! The running engine: the batch, the task that steps it, and the load report.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,46 +8,46 @@
 use tokio::sync::{Notify, watch};
 
 use super::batch::{Batch, Job, Load, StreamNo};
-use super::text::Call;
+use super::text::Endpoint;
 use crate::fault::{BaseFault, Fault, Switches};
 
-/// Tokens per request and step when no pace is set.
+/// Number of tokens per request and step when no pace is set.
 const UNPACED_TOKENS: u64 = 64;
-/// How often a frozen engine, and the load sampler, look at the switches.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which a frozen engine and the load sampler read the switches.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Switches of the engine.
+/// Fault switches of the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFault {
     /// Switches that every stand-in has.
     #[serde(flatten)]
     pub base: BaseFault,
-    /// Requests that run at once.
+    /// Maximum number of concurrently running requests.
     pub slots: usize,
-    /// Time per token of a running request (ms); 0: as fast as it goes.
+    /// Time per token of a running request, in ms; 0 for no delay.
     pub pace_ms: u64,
-    /// Age that a load report may have (ms).
+    /// Maximum age of a load report, in ms.
     pub load_lag_ms: u64,
-    /// How long finished streams are kept (ms).
+    /// Retention of finished streams, in ms.
     pub keep_ms: u64,
-    /// New work is answered 503 with `x-draining: true`.
+    /// New requests get 503 with `x-draining: true`.
     pub draining: bool,
-    /// The load report says that the engine is draining, but new work is taken.
+    /// The load report says that the engine is draining, but new requests are accepted.
     pub told_draining: bool,
-    /// A connection breaks after so many events; null: never.
+    /// Number of events after which a connection is reset; null for never.
     pub cut_after: Option<u64>,
-    /// Events come in swapped pairs.
+    /// Adjacent events are swapped pairwise.
     pub reorder: bool,
-    /// Each event comes twice.
+    /// Each event is sent twice.
     pub double: bool,
-    /// The event with this number is left out of the first connection; null: none.
+    /// Number of an event that the first connection skips; null for none.
     pub drop_chunk: Option<u64>,
-    /// The pace is multiplied by this.
+    /// Factor on the time per token.
     pub slow: f64,
-    /// New work is answered 500 at once and does not run.
+    /// New requests get 500 at once and do not run.
     pub fail_fast: bool,
-    /// Nothing runs and nothing is answered.
+    /// The engine neither runs nor answers requests.
     pub freeze: bool,
 }
 
@@ -80,10 +80,10 @@
 
 /// The engine behind its HTTP interface.
 pub struct Engine {
-    /// Switches.
+    /// Fault switches.
     pub switches: Switches<EngineFault>,
     batch: Mutex<Batch>,
-    calls: Mutex<BTreeMap<StreamNo, Call>>,
+    endpoints: Mutex<BTreeMap<StreamNo, Endpoint>>,
     changed: watch::Sender<()>,
     work: Notify,
     report: Mutex<(Load, Instant)>,
@@ -91,12 +91,12 @@
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(fault: EngineFault) -> Arc<Self> {
         Arc::new(Self {
             switches: Switches::new(fault),
             batch: Mutex::default(),
-            calls: Mutex::default(),
+            endpoints: Mutex::default(),
             changed: watch::Sender::new(()),
             work: Notify::new(),
             report: Mutex::new((Load::default(), Instant::now())),
@@ -104,47 +104,47 @@
         })
     }
 
-    /// Queues a request.
-    pub fn submit(&self, call: Call, job: Job) -> StreamNo {
+    /// Queues a request and returns the number of its stream.
+    pub fn submit(&self, endpoint: Endpoint, job: Job) -> StreamNo {
         let keep_ms = self.switches.get().keep_ms;
         let mut batch = self.batch();
         batch.sweep(self.now_ms(), keep_ms);
         let no = batch.submit(job);
-        let mut calls = self.calls.lock().expect("no holder panics");
-        calls.retain(|no, _call| batch.stream(*no).is_some());
-        calls.insert(no, call);
+        let mut endpoints = self.endpoints.lock().expect("no holder panics");
+        endpoints.retain(|no, _endpoint| batch.stream(*no).is_some());
+        endpoints.insert(no, endpoint);
         drop(batch);
         self.work.notify_one();
         no
     }
 
-    /// Ends a stream early; false when it is unknown or has ended.
+    /// Cancels a stream. Returns false when it is unknown or has ended.
     pub fn cancel(&self, no: StreamNo) -> bool {
         let cancelled = self.batch().cancel(no, self.now_ms());
         self.changed.send_replace(());
         cancelled
     }
 
-    /// Which call a kept stream belongs to.
-    pub fn call_of(&self, no: StreamNo) -> Option<Call> {
-        self.calls
+    /// Returns the endpoint of a retained stream.
+    pub fn endpoint_of(&self, no: StreamNo) -> Option<Endpoint> {
+        self.endpoints
             .lock()
             .expect("no holder panics")
             .get(&no)
             .copied()
     }
 
-    /// The batch, locked.
+    /// Locks the batch.
     pub fn batch(&self) -> MutexGuard<'_, Batch> {
         self.batch.lock().expect("no holder panics")
     }
 
-    /// A receiver that wakes after each step and each cancel.
+    /// Returns a receiver that is notified after each step and each cancellation.
     pub fn watch(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// The load as reported, and its age.
+    /// Returns the reported load and its age.
     pub fn report(&self) -> (Load, Duration) {
         if self.switches.get().load_lag_ms == 0 {
             return (self.batch().load(), Duration::ZERO);
@@ -154,16 +154,16 @@
     }
 
     /// Waits until the engine is not frozen.
-    pub async fn thawed(&self) {
+    pub async fn wait_until_thawed(&self) {
         while self.switches.get().freeze {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Steps the batch for ever.
+    /// Steps the batch until the task is aborted.
     pub async fn run(self: Arc<Self>) {
         loop {
-            self.thawed().await;
+            self.wait_until_thawed().await;
             let fault = self.switches.get();
             let tokens = if fault.pace_ms == 0 {
                 UNPACED_TOKENS
@@ -185,13 +185,13 @@
         }
     }
 
-    /// Takes the load report's samples for ever.
+    /// Samples the load for the report until the task is aborted.
     pub async fn sample(self: Arc<Self>) {
         loop {
             let load = self.batch().load();
             *self.report.lock().expect("no holder panics") = (load, Instant::now());
             let lag = Duration::from_millis(self.switches.get().load_lag_ms);
-            tokio::time::sleep(lag.max(LOOK_EVERY)).await;
+            tokio::time::sleep(lag.max(POLL_INTERVAL)).await;
         }
     }
 
--- a/standins/src/engine/delivery.rs
+++ b/standins/src/engine/delivery.rs
@@ -1,58 +1,58 @@
-//! The order in which one connection gets a stream's events, faults included.
-//! No I/O.
+//! The order in which one connection gets a stream's events, including injected faults.
+//! Without I/O.
 
-/// Faults of one delivery, taken from the switches when it starts.
+/// Faults of one delivery, is_repeated from the switches when it starts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Faults {
-    /// The connection breaks after so many events.
+    /// Number of events after which the connection is reset.
     pub cut_after: Option<u64>,
-    /// Events come in swapped pairs.
+    /// Adjacent events are swapped pairwise.
     pub reorder: bool,
-    /// Each event comes twice.
+    /// Each event is sent twice.
     pub double: bool,
-    /// The event with this number is left out.
+    /// Number of an event that is skipped.
     pub drop_chunk: Option<u64>,
 }
 
-/// What to do next on the connection.
+/// Next action on the connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
     /// Send the event with this number.
     Send(u64),
-    /// Wait until more of the stream has run.
+    /// Wait until more events exist.
     Wait,
-    /// Break the connection.
+    /// Reset the connection.
     Cut,
-    /// All is sent.
+    /// All events were sent.
     End,
 }
 
-/// One connection's place in a stream of `total` events.
+/// Position of one connection in a stream of `total` events.
 #[derive(Debug)]
 pub struct Delivery {
     faults: Faults,
     start: u64,
     total: u64,
-    place: u64,
-    copied: bool,
+    position: u64,
+    is_repeated: bool,
     sent: u64,
 }
 
 impl Delivery {
-    /// A delivery of the events `from..total`.
+    /// Creates a delivery of the events `from..total`.
     #[must_use]
     pub fn new(from: u64, total: u64, faults: Faults) -> Self {
         Self {
             faults,
             start: from,
             total,
-            place: from,
-            copied: false,
+            position: from,
+            is_repeated: false,
             sent: 0,
         }
     }
 
-    /// The next step when the events below `available` exist.
+    /// Returns the next step, given that the events below `available` exist.
     pub fn next(&mut self, available: u64) -> Step {
         loop {
             if self
@@ -62,33 +62,33 @@
             {
                 return Step::Cut;
             }
-            if self.place >= self.total {
+            if self.position >= self.total {
                 return Step::End;
             }
-            let no = self.event_at(self.place);
+            let no = self.event_at(self.position);
             if no >= available {
                 return Step::Wait;
             }
             if self.faults.drop_chunk == Some(no) {
-                self.place += 1;
+                self.position += 1;
                 continue;
             }
             self.sent += 1;
-            if self.faults.double && !self.copied {
-                self.copied = true;
+            if self.faults.double && !self.is_repeated {
+                self.is_repeated = true;
                 return Step::Send(no);
             }
-            self.copied = false;
-            self.place += 1;
+            self.is_repeated = false;
+            self.position += 1;
             return Step::Send(no);
         }
     }
 
-    fn event_at(&self, place: u64) -> u64 {
-        let swapped = place ^ 1;
+    fn event_at(&self, position: u64) -> u64 {
+        let swapped = position ^ 1;
         if self.faults.reorder && swapped >= self.start && swapped < self.total {
             return swapped;
         }
-        place
+        position
     }
 }
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -11,4 +11,6 @@
 pub use core::EngineFault;
 pub use delivery::{Delivery, Faults, Step};
 pub use server::main;
-pub use text::{Call, answer, answer_length, natural_length, prompt_of, prompt_tokens, token};
+pub use text::{
+    Endpoint, answer, answer_length, prompt_of, prompt_tokens, token, unlimited_length,
+};
--- a/standins/src/engine/server.rs
+++ b/standins/src/engine/server.rs
@@ -13,14 +13,14 @@
 use super::core::{Engine, EngineFault};
 use super::delivery::{Delivery, Faults, Step};
 use super::event;
-use super::text::{self, Call};
+use super::text::{self, Endpoint};
 use crate::cli::{self, About, Args};
-use crate::fault::Panel;
+use crate::fault::FaultControl;
 use crate::host::{self, BODY_LIMIT, Host, Standin, json_answer, refuse};
 
-/// Answer's limit when the request has none (tokens).
+/// Default maximum length of an answer, in tokens.
 const MAX_TOKENS: u64 = 1_024;
-/// Path of kept streams.
+/// Path prefix of retained streams.
 const STREAMS: &str = "/v1/streams/";
 
 /// Runs `standin-engine`.
@@ -30,9 +30,14 @@
         name: "standin-engine",
         about: "stands in for a streaming model engine",
         options: |options| {
-            options.optopt("", "slots", "requests that run at once", "N");
+            options.optopt(
+                "",
+                "slots",
+                "maximum number of concurrently running requests",
+                "N",
+            );
             options.optopt("", "pace-ms", "time per token", "MS");
-            options.optopt("", "load-lag-ms", "age that a load report may have", "MS");
+            options.optopt("", "load-lag-ms", "maximum age of a load report", "MS");
             options.optopt("", "seed", "seed of the faults' draws", "N");
         },
     };
@@ -40,19 +45,19 @@
 }
 
 async fn start(args: Args) -> anyhow::Result<Host> {
-    let usual = EngineFault::default();
+    let defaults = EngineFault::default();
     let fault = EngineFault {
-        slots: args.get("slots", usual.slots)?,
-        pace_ms: args.get("pace-ms", usual.pace_ms)?,
-        load_lag_ms: args.get("load-lag-ms", usual.load_lag_ms)?,
-        ..usual
+        slots: args.get("slots", defaults.slots)?,
+        pace_ms: args.get("pace-ms", defaults.pace_ms)?,
+        load_lag_ms: args.get("load-lag-ms", defaults.load_lag_ms)?,
+        ..defaults
     };
     let engine = Engine::new(fault);
     let tasks = vec![
         tokio::spawn(Arc::clone(&engine).run()),
         tokio::spawn(Arc::clone(&engine).sample()),
     ];
-    // Streams of another start must never be taken for this one's.
+    // Stream ids must be unique across restarts of the engine.
     let server = EngineServer {
         engine,
         prefix: uuid::Uuid::new_v4().simple().to_string(),
@@ -67,7 +72,7 @@
 
 #[async_trait(?Send)]
 impl Standin for EngineServer {
-    fn panel(&self) -> &dyn Panel {
+    fn faults(&self) -> &dyn FaultControl {
         &self.engine.switches
     }
 
@@ -80,15 +85,15 @@
 
     async fn serve(&self, request: Incoming) -> Response<Body> {
         let path = request.uri().path().to_owned();
-        // Not held by a freeze: tests read it at any time.
+        // Served even while frozen, because tests read it at any time.
         if path == "/runs" {
             return self.runs();
         }
-        self.engine.thawed().await;
+        self.engine.wait_until_thawed().await;
         let method = request.method().clone();
         match (method, path.as_str()) {
-            (Method::POST, "/v1/chat/completions") => self.complete(Call::Chat, request).await,
-            (Method::POST, "/v1/completions") => self.complete(Call::Text, request).await,
+            (Method::POST, "/v1/chat/completions") => self.complete(Endpoint::Chat, request).await,
+            (Method::POST, "/v1/completions") => self.complete(Endpoint::Text, request).await,
             (Method::GET, "/load") => self.load(),
             (Method::GET, path) if path.starts_with(STREAMS) => self.resume(path, &request),
             (Method::DELETE, path) if path.starts_with(STREAMS) => self.cancel(path),
@@ -117,7 +122,7 @@
         json_answer(StatusCode::OK, &report)
     }
 
-    async fn complete(&self, call: Call, mut request: Incoming) -> Response<Body> {
+    async fn complete(&self, endpoint: Endpoint, mut request: Incoming) -> Response<Body> {
         let key = host::header(&request, "x-request-key");
         let priority = host::header(&request, "x-priority");
         let Ok(body) = request.body(BODY_LIMIT).await else {
@@ -130,25 +135,25 @@
         if fault.fail_fast {
             return refuse(StatusCode::INTERNAL_SERVER_ERROR, "failed by the switch");
         }
-        let job = match job_of(call, &body, key, &priority) {
+        let job = match parse_job(endpoint, &body, key, &priority) {
             Ok(job) => job,
             Err(field) => return refuse(StatusCode::BAD_REQUEST, field),
         };
-        let no = self.engine.submit(call, job);
+        let no = self.engine.submit(endpoint, job);
         let faults = Faults {
             cut_after: fault.cut_after,
             reorder: fault.reorder,
             double: fault.double,
             drop_chunk: fault.drop_chunk,
         };
-        self.events(no, call, 0, faults)
+        self.events(no, endpoint, 0, faults)
     }
 
     fn resume(&self, path: &str, request: &Incoming) -> Response<Body> {
-        let Some(no) = self.number_of(path) else {
+        let Some(no) = self.parse_stream_id(path) else {
             return refuse(StatusCode::NOT_FOUND, "no such stream");
         };
-        let Some(call) = self.engine.call_of(no) else {
+        let Some(endpoint) = self.engine.endpoint_of(no) else {
             return refuse(StatusCode::NOT_FOUND, "no such stream");
         };
         let fault = self.engine.switches.get();
@@ -158,12 +163,12 @@
             double: fault.double,
             drop_chunk: None,
         };
-        self.events(no, call, host::query(request, "from", 0), faults)
+        self.events(no, endpoint, host::query(request, "from", 0), faults)
     }
 
     fn cancel(&self, path: &str) -> Response<Body> {
         let done = self
-            .number_of(path)
+            .parse_stream_id(path)
             .is_some_and(|no| self.engine.cancel(no));
         if !done {
             return refuse(StatusCode::NOT_FOUND, "no such stream, or it has ended");
@@ -171,7 +176,7 @@
         json_answer(StatusCode::OK, &json!({ "cancelled": true }))
     }
 
-    fn number_of(&self, path: &str) -> Option<StreamNo> {
+    fn parse_stream_id(&self, path: &str) -> Option<StreamNo> {
         let id = path.strip_prefix(STREAMS)?;
         let (prefix, no) = id.split_once('-')?;
         if prefix != self.prefix {
@@ -180,8 +185,14 @@
         no.parse().ok()
     }
 
-    fn events(&self, no: StreamNo, call: Call, from: u64, faults: Faults) -> Response<Body> {
-        let total = self.engine.batch().stream(no).map(event::total_of);
+    fn events(
+        &self,
+        no: StreamNo,
+        endpoint: Endpoint,
+        from: u64,
+        faults: Faults,
+    ) -> Response<Body> {
+        let total = self.engine.batch().stream(no).map(event::event_count);
         let Some(total) = total else {
             return refuse(StatusCode::NOT_FOUND, "no such stream");
         };
@@ -192,23 +203,23 @@
             let mut delivery = Delivery::new(from, total, faults);
             let mut changed = engine.watch();
             loop {
-                engine.thawed().await;
+                engine.wait_until_thawed().await;
                 changed.mark_unchanged();
                 let Some(stream) = engine.batch().stream(no).cloned() else {
-                    yield Err(broken("the stream is gone"));
+                    yield Err(reset_error("the stream was dropped"));
                     return;
                 };
                 let ended = stream.phase == Phase::Finished;
                 let available = if ended { total } else { stream.done };
                 match delivery.next(available) {
-                    Step::Send(event) => yield Ok(event::encode(&stream_id, call, &stream, event)),
+                    Step::Send(event) => yield Ok(event::encode(&stream_id, endpoint, &stream, event)),
                     Step::End => return,
                     Step::Cut => {
-                        yield Err(broken("cut by the switch"));
+                        yield Err(reset_error("cut by the switch"));
                         return;
                     }
                     Step::Wait if stream.phase == Phase::Cancelled => {
-                        yield Err(broken("cancelled"));
+                        yield Err(reset_error("cancelled"));
                         return;
                     }
                     Step::Wait => {
@@ -229,11 +240,16 @@
     }
 }
 
-fn broken(why: &str) -> io::Error {
+fn reset_error(why: &str) -> io::Error {
     io::Error::new(io::ErrorKind::ConnectionReset, why.to_owned())
 }
 
-fn job_of(call: Call, body: &[u8], key: String, priority: &str) -> Result<Job, &'static str> {
+fn parse_job(
+    endpoint: Endpoint,
+    body: &[u8],
+    key: String,
+    priority: &str,
+) -> Result<Job, &'static str> {
     let Ok(body) = serde_json::from_slice::<Value>(body) else {
         return Err("the body is no JSON");
     };
@@ -245,7 +261,7 @@
     Ok(Job {
         key,
         model: model.unwrap_or_default().to_owned(),
-        prompt: text::prompt_of(call, &body)?,
+        prompt: text::prompt_of(endpoint, &body)?,
         max_tokens: max_tokens.unwrap_or(MAX_TOKENS),
         priority: priority.parse().unwrap_or(1),
     })
--- a/standins/src/engine/text.rs
+++ b/standins/src/engine/text.rs
@@ -1,43 +1,43 @@
-//! The engine's answers: a fixed function of the prompt, so that a test can
-//! compare every byte.
+//! The engine's answers, a deterministic function of the prompt, so that a test can compare
+//! every byte.
 
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Words that answers are made of.
+/// Vocabulary of the answers.
 const WORDS: [&str; 16] = [
     "parcel", "ridge", "clé", "mar", "notary", "grid", "hint", "river", "señal", "stone", "brook",
     "field", "sept", "lane", "harbour", "été",
 ];
 
-/// Shortest answer when the prompt does not say its length (tokens).
-const SHORTEST: u64 = 6;
-/// Number of different lengths when the prompt does not say its length.
-const LENGTHS: u64 = 20;
-/// A prompt that holds `tokens=N` asks for an answer of exactly N tokens.
+/// Minimum answer length in tokens, unless the prompt sets the length.
+const MIN_LENGTH: u64 = 6;
+/// Number of different answer lengths, unless the prompt sets the length.
+const LENGTH_COUNT: u64 = 20;
+/// A prompt that contains `tokens=N` gets an answer of exactly N tokens.
 const LENGTH_MARK: &str = "tokens=";
 
-/// Which of the two model calls a body belongs to.
+/// API endpoint of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Call {
+pub enum Endpoint {
     /// `/v1/chat/completions`
     Chat,
     /// `/v1/completions`
     Text,
 }
 
-/// The prompt of a request body: the contents of all messages joined by line
-/// ends, or the `prompt` text.
+/// Returns the prompt of a request body: the contents of all messages joined by newlines,
+/// or the `prompt` text.
 ///
 /// # Errors
-/// Names the missing or malformed field.
-pub fn prompt_of(call: Call, body: &Value) -> Result<String, &'static str> {
-    match call {
-        Call::Text => {
+/// The name of the missing or malformed field.
+pub fn prompt_of(endpoint: Endpoint, body: &Value) -> Result<String, &'static str> {
+    match endpoint {
+        Endpoint::Text => {
             let prompt = body.get("prompt").and_then(Value::as_str);
             prompt.map(str::to_owned).ok_or("prompt")
         }
-        Call::Chat => {
+        Endpoint::Chat => {
             let messages = body.get("messages").and_then(Value::as_array);
             let mut lines = Vec::new();
             for message in messages.ok_or("messages")? {
@@ -49,15 +49,15 @@
     }
 }
 
-/// Tokens that a prompt counts for: its words, at least one.
+/// Counts the tokens of a prompt: its words, but at least one.
 #[must_use]
 pub fn prompt_tokens(prompt: &str) -> u64 {
     (prompt.split_whitespace().count() as u64).max(1)
 }
 
-/// Tokens of the whole answer to `prompt`, without a limit.
+/// Returns the length of the unlimited answer to `prompt`, in tokens.
 #[must_use]
-pub fn natural_length(prompt: &str) -> u64 {
+pub fn unlimited_length(prompt: &str) -> u64 {
     if let Some((_before, after)) = prompt.split_once(LENGTH_MARK) {
         let end = after.find(|c: char| !c.is_ascii_digit());
         let digits = &after[..end.unwrap_or(after.len())];
@@ -65,30 +65,30 @@
             return length.max(1);
         }
     }
-    SHORTEST + xxh3_64(prompt.as_bytes()) % LENGTHS
+    MIN_LENGTH + xxh3_64(prompt.as_bytes()) % LENGTH_COUNT
 }
 
-/// Token number `place` of the answer to `prompt`.
+/// Returns the token at position `index` of the answer to `prompt`.
 #[must_use]
-pub fn token(prompt: &str, place: u64) -> String {
-    let seed = xxh3_64(prompt.as_bytes()) ^ place.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+pub fn token(prompt: &str, index: u64) -> String {
+    let seed = xxh3_64(prompt.as_bytes()) ^ index.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let choice = xxh3_64(&seed.to_le_bytes()) % WORDS.len() as u64;
     let word = WORDS[usize::try_from(choice).expect("less than the number of words")];
-    format!("{word}{place} ")
+    format!("{word}{index} ")
 }
 
-/// Tokens of the answer to `prompt` when at most `max_tokens` may be given.
+/// Returns the length of the answer to `prompt` with at most `max_tokens` tokens.
 #[must_use]
 pub fn answer_length(prompt: &str, max_tokens: u64) -> u64 {
-    natural_length(prompt).min(max_tokens)
+    unlimited_length(prompt).min(max_tokens)
 }
 
-/// The whole answer to `prompt` when at most `max_tokens` may be given.
+/// Returns the answer to `prompt` with at most `max_tokens` tokens.
 #[must_use]
 pub fn answer(prompt: &str, max_tokens: u64) -> String {
     let mut text = String::new();
-    for place in 0..answer_length(prompt, max_tokens) {
-        text.push_str(&token(prompt, place));
+    for index in 0..answer_length(prompt, max_tokens) {
+        text.push_str(&token(prompt, index));
     }
     text
 }
--- a/standins/src/host.rs
+++ b/standins/src/host.rs
@@ -1,5 +1,5 @@
-//! The HTTP host that all stand-ins share: control paths, and the base faults
-//! around the calls of the thing that is stood in for.
+//! The HTTP server that all stand-ins share. It serves the control paths and injects the
+//! base faults into the other calls.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -18,30 +18,30 @@
 use swiftlink_shell::web::{Body, Incoming, Limits, Service, WebServer};
 use tokio::task::JoinHandle;
 
-use crate::fault::Panel;
+use crate::fault::FaultControl;
 
-/// First part of the paths that control a stand-in.
+/// Prefix of the paths that control a stand-in.
 pub const CONTROL: &str = "/_standin/";
-/// Largest body that a stand-in takes (bytes).
+/// Maximum size of a request body, in bytes.
 pub const BODY_LIMIT: usize = 32 << 20;
 
-/// A cut caller waits this long for nothing, unless it gives up before.
-const CUT_HOLD: Duration = Duration::from_secs(10);
-/// How often a held call looks whether the cut is over.
-const CUT_POLL: Duration = Duration::from_millis(20);
-/// Requests in flight get this long at a stop.
+/// Time after which a call from a cut caller is refused.
+const CUT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which a held call checks whether the cut has ended.
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Grace period for requests in flight at a stop.
 const STOP_GRACE: Duration = Duration::from_millis(200);
 
-/// The thing that is stood in for.
+/// The service that a stand-in simulates.
 #[async_trait(?Send)]
 pub trait Standin: Send + Sync + 'static {
-    /// Its fault switches.
-    fn panel(&self) -> &dyn Panel;
+    /// Fault switches of the stand-in.
+    fn faults(&self) -> &dyn FaultControl;
     /// Called after each change of the switches.
-    fn turned(&self) {}
-    /// Answers a control call other than `fault`; `path` is without [`CONTROL`].
+    fn on_faults_changed(&self) {}
+    /// Answers a control call other than `fault`. `path` has no [`CONTROL`] prefix.
     async fn control(&self, path: &str, request: Incoming) -> Response<Body>;
-    /// Answers a call of a user.
+    /// Answers a call of a client.
     async fn serve(&self, request: Incoming) -> Response<Body>;
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Host {
-    /// Serves `standin` on `address`; `seed` drives the faults' draws.
+    /// Serves `standin` on `address`. `seed` initializes the generator for random faults.
     ///
     /// # Errors
     /// When the address can't be bound.
@@ -69,11 +69,11 @@
         let address = listener
             .local_addr()
             .context("can't read the bound address")?;
-        let front = Front {
+        let injector = FaultInjector {
             standin,
             draws: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
         };
-        let web = WebServer::bind(listener, Limits::default(), Arc::new(front))?;
+        let web = WebServer::bind(listener, Limits::default(), Arc::new(injector))?;
         Ok(Self {
             web,
             address,
@@ -81,13 +81,13 @@
         })
     }
 
-    /// The bound address.
+    /// Address that the stand-in listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops serving and joins all tasks.
+    /// Stops the server and all tasks.
     pub async fn stop(self) {
         self.web.stop(STOP_GRACE).await;
         for task in self.tasks {
@@ -98,81 +98,81 @@
     }
 }
 
-struct Front {
+struct FaultInjector {
     standin: Arc<dyn Standin>,
     draws: Mutex<Pcg64Mcg>,
 }
 
 #[async_trait(?Send)]
-impl Service for Front {
+impl Service for FaultInjector {
     async fn call(&self, mut request: Incoming) -> Response<Body> {
         let path = request.uri().path().to_owned();
         if let Some(path) = path.strip_prefix(CONTROL) {
             return self.control(path, request).await;
         }
         let agent = agent_of(&request);
-        if let Some(refusal) = self.hold(&agent).await {
-            // The caller's body is read so that the connection stays in step.
+        if let Some(refusal) = self.inject_faults(&agent).await {
+            // Reading the body keeps the connection usable.
             drop(request.body(BODY_LIMIT).await);
             return refusal;
         }
         let answer = self.standin.serve(request).await;
-        if self.loses() {
-            return broken();
+        if self.is_answer_lost() {
+            return reset_response();
         }
         answer
     }
 }
 
-impl Front {
+impl FaultInjector {
     async fn control(&self, path: &str, mut request: Incoming) -> Response<Body> {
         if path != "fault" {
             return self.standin.control(path, request).await;
         }
         if request.method() != Method::PUT {
-            return json_answer(StatusCode::OK, &self.standin.panel().shown());
+            return json_answer(StatusCode::OK, &self.standin.faults().to_json());
         }
         let Ok(patch) = request.body(BODY_LIMIT).await else {
             return refuse(StatusCode::BAD_REQUEST, "the body can't be read");
         };
-        if let Err(detail) = self.standin.panel().turn(&patch) {
+        if let Err(detail) = self.standin.faults().apply_patch(&patch) {
             return refuse(StatusCode::BAD_REQUEST, &detail);
         }
-        self.standin.turned();
-        json_answer(StatusCode::OK, &self.standin.panel().shown())
+        self.standin.on_faults_changed();
+        json_answer(StatusCode::OK, &self.standin.faults().to_json())
     }
 
-    /// Applies delay, outage and cut; an answer means that the call does nothing.
-    async fn hold(&self, agent: &str) -> Option<Response<Body>> {
-        let base = self.standin.panel().base();
+    /// Injects delay, outage and cut. Returns the refusal if the call must have no effect.
+    async fn inject_faults(&self, agent: &str) -> Option<Response<Body>> {
+        let base = self.standin.faults().base();
         if base.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(base.delay_ms)).await;
         }
         let mut held = Duration::ZERO;
-        while self.cuts(agent) {
-            if held >= CUT_HOLD {
+        while self.is_cut(agent) {
+            if held >= CUT_TIMEOUT {
                 return Some(refuse(StatusCode::SERVICE_UNAVAILABLE, "cut"));
             }
-            tokio::time::sleep(CUT_POLL).await;
-            held += CUT_POLL;
+            tokio::time::sleep(CUT_POLL_INTERVAL).await;
+            held += CUT_POLL_INTERVAL;
         }
         if held > Duration::ZERO {
-            // What was sent into a partition never arrives.
+            // A request sent during a partition never arrives.
             return Some(refuse(StatusCode::SERVICE_UNAVAILABLE, "cut"));
         }
-        if self.standin.panel().base().outage {
+        if self.standin.faults().base().outage {
             return Some(refuse(StatusCode::SERVICE_UNAVAILABLE, "outage"));
         }
         None
     }
 
-    fn cuts(&self, agent: &str) -> bool {
-        let cut = self.standin.panel().base().cut;
+    fn is_cut(&self, agent: &str) -> bool {
+        let cut = self.standin.faults().base().cut;
         cut.iter().any(|name| name == agent)
     }
 
-    fn loses(&self) -> bool {
-        let share = self.standin.panel().base().lose_answers;
+    fn is_answer_lost(&self) -> bool {
+        let share = self.standin.faults().base().lose_answers;
         if share <= 0.0 {
             return false;
         }
@@ -181,19 +181,19 @@
     }
 }
 
-/// The caller's `User-Agent`, or nothing.
+/// Returns the caller's `User-Agent`, or an empty string.
 pub fn agent_of(request: &Incoming) -> String {
     header(request, "user-agent")
 }
 
-/// A header's text, or nothing.
+/// Returns the value of a header, or an empty string.
 pub fn header(request: &Incoming, name: &str) -> String {
     let value = request.headers().get(name);
     let text = value.and_then(|value| value.to_str().ok());
     text.unwrap_or_default().to_owned()
 }
 
-/// A parameter of the query, or `default` when it is missing or malformed.
+/// Returns a query parameter, or `default` when it is missing or malformed.
 pub fn query<T: std::str::FromStr>(request: &Incoming, name: &str, default: T) -> T {
     let text = request.uri().query().unwrap_or_default();
     for pair in text.split('&') {
@@ -207,9 +207,9 @@
     default
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
-    let data = serde_json::to_vec(value).expect("the answers hold no map with other keys");
+    let data = serde_json::to_vec(value).expect("the answers have only string keys");
     let mut answer = Response::new(Body::full(Bytes::from(data)));
     *answer.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
@@ -219,12 +219,12 @@
     answer
 }
 
-/// A refusal with one sentence.
+/// Builds an error response with a message.
 pub fn refuse(status: StatusCode, detail: &str) -> Response<Body> {
     json_answer(status, &json!({ "error": detail }))
 }
 
-/// The refusal of new work by a backend server that drains; nothing ran.
+/// Builds the response of a draining backend server to a new request, which did not run.
 pub fn refuse_draining() -> Response<Body> {
     let mut answer = refuse(StatusCode::SERVICE_UNAVAILABLE, "draining");
     let value = HeaderValue::from_static("true");
@@ -232,8 +232,8 @@
     answer
 }
 
-/// An answer whose connection breaks before its first byte.
-fn broken() -> Response<Body> {
+/// Builds a response that resets the connection before its first byte.
+fn reset_response() -> Response<Body> {
     let lost = io::Error::new(io::ErrorKind::ConnectionReset, "lost by the fault switch");
     Response::new(Body::stream(stream::iter([Err(lost)])))
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,10 +1,9 @@
-//! Small stand-ins for the platform, for tests and for trying things out.
+//! Stand-ins for the platform's services, for tests and local trials.
 //!
-//! Each stand-in is one small binary over a module of this library: the
-//! append-only log, the lagging VM list, a streaming model engine, a plain
-//! service, and a TCP relay. All print `listening=ADDR` once they serve, and all
-//! take `PUT /_standin/fault` with a JSON object that names the switches to
-//! change; `GET /_standin/fault` shows the switches.
+//! Each stand-in is a small binary over a module of this library: the append-only log, the
+//! VM list, a streaming model engine, a plain service, and a TCP relay. All print
+//! `listening=ADDR` once they serve. `PUT /_standin/fault` with a JSON object changes the
+//! fault switches that it names; `GET /_standin/fault` returns all of them.
 
 mod cli;
 mod fault;
--- a/standins/src/log/mod.rs
+++ b/standins/src/log/mod.rs
@@ -4,4 +4,4 @@
 mod state;
 
 pub use server::{LogFault, main};
-pub use state::{Found, Streams};
+pub use state::{ReadResult, Streams};
--- a/standins/src/log/server.rs
+++ b/standins/src/log/server.rs
@@ -1,4 +1,4 @@
-//! The log's HTTP interface and its switches.
+//! The log's HTTP interface and fault switches.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -14,26 +14,26 @@
 use swiftlink_shell::web::{Body, Incoming};
 use tokio::sync::watch;
 
-use super::state::{Found, Streams};
+use super::state::{ReadResult, Streams};
 use crate::cli::{self, About, Args};
-use crate::fault::{BaseFault, Fault, Panel, Switches};
+use crate::fault::{BaseFault, Fault, FaultControl, Switches};
 use crate::host::{self, BODY_LIMIT, Host, Standin, json_answer, refuse};
 
-/// Records of a page when the caller does not say.
+/// Default maximum number of records per page.
 const PAGE_RECORDS: usize = 1_000;
-/// Longest long poll (ms).
-const LONGEST_WAIT_MS: u64 = 30_000;
+/// Maximum wait of a long poll, in ms.
+const MAX_WAIT_MS: u64 = 30_000;
 
-/// Switches of the log.
+/// Fault switches of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogFault {
     /// Switches that every stand-in has.
     #[serde(flatten)]
     pub base: BaseFault,
-    /// Records kept per stream; 0 keeps all.
+    /// Number of records retained per stream; 0 retains all.
     pub retain: usize,
-    /// Time that each append takes, one after the other (ms).
+    /// Duration of each append, in ms; appends run one after the other.
     pub slow_ms: u64,
 }
 
@@ -96,13 +96,13 @@
 
 #[async_trait(?Send)]
 impl Standin for LogServer {
-    fn panel(&self) -> &dyn Panel {
+    fn faults(&self) -> &dyn FaultControl {
         &self.0.switches
     }
 
-    fn turned(&self) {
+    fn on_faults_changed(&self) {
         self.0.streams().trim(self.0.switches.get().retain);
-        // Polls in flight look at the switches again.
+        // Wakes the long polls in flight, which read the switches again.
         self.0.changed.send_replace(());
     }
 
@@ -129,7 +129,8 @@
             };
             let shared = Arc::clone(&self.0);
             let name = name.to_owned();
-            // What has reached the log is appended also when the caller gives up.
+            // The append runs in its own task, so that it completes even if the client
+            // disconnects.
             let append = tokio::spawn(async move { shared.append(&name, data, &agent).await });
             return match append.await {
                 Ok(Some(offset)) => json_answer(StatusCode::OK, &json!({ "offset": offset })),
@@ -148,7 +149,7 @@
         self.streams.lock().expect("no holder panics")
     }
 
-    /// Appends one record; nothing when the log is out.
+    /// Appends one record and returns its offset; `None` during an outage.
     async fn append(&self, name: &str, data: Bytes, agent: &str) -> Option<u64> {
         let slow_ms = self.switches.get().slow_ms;
         if slow_ms > 0 {
@@ -171,7 +172,7 @@
         let from: u64 = host::query(request, "from", 0);
         let max: usize = host::query(request, "max", PAGE_RECORDS);
         let wait_ms: u64 = host::query(request, "wait_ms", 0);
-        let wait = Duration::from_millis(wait_ms.min(LONGEST_WAIT_MS));
+        let wait = Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
         let until = tokio::time::Instant::now() + wait;
         let mut changed = self.changed.subscribe();
         loop {
@@ -180,16 +181,16 @@
                 return refuse(StatusCode::SERVICE_UNAVAILABLE, "outage");
             }
             let page = match self.streams().read(name, from, max) {
-                Found::Trimmed { first } => {
+                ReadResult::Trimmed { first } => {
                     return json_answer(StatusCode::GONE, &json!({ "first": first }));
                 }
-                Found::Page(page) => page,
+                ReadResult::Page(page) => page,
             };
             let late = tokio::time::Instant::now() >= until;
             if !page.records.is_empty() || late {
                 return page_answer(&page.encode_to_vec());
             }
-            // Either way the streams are looked at again.
+            // After a change and after a timeout alike, the streams are read again.
             drop(tokio::time::timeout_at(until, changed.changed()).await);
         }
     }
--- a/standins/src/log/state.rs
+++ b/standins/src/log/state.rs
@@ -1,11 +1,11 @@
-//! The log's streams: offsets, retention by count. No I/O and no clock.
+//! The log's streams with offsets and retention by count, without I/O and clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
 use swiftlink_wire::log::{LogPage, LogRecord};
 
-/// Largest page in bytes of record data; at least one record is given.
+/// Maximum record data per page, in bytes. A page has at least one record.
 const PAGE_BYTES: usize = 4 << 20;
 
 /// All streams of the log.
@@ -20,21 +20,21 @@
     records: VecDeque<Bytes>,
 }
 
-/// What a read finds.
+/// Result of a read.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Found {
-    /// Records from the wanted offset on; empty when there is nothing new.
+pub enum ReadResult {
+    /// Records from the requested offset on; empty when there are no newer ones.
     Page(LogPage),
-    /// The wanted offset is no longer kept; `first` is the oldest that is.
+    /// The requested offset was trimmed.
     Trimmed {
-        /// Oldest offset kept.
+        /// Oldest retained offset.
         first: u64,
     },
 }
 
 impl Streams {
-    /// Appends one record and returns its offset. Only the newest `retain`
-    /// records of the stream are kept; 0 keeps all.
+    /// Appends one record and returns its offset. The stream retains the newest `retain`
+    /// records; 0 retains all.
     pub fn append(&mut self, name: &str, data: Bytes, retain: usize) -> u64 {
         let stream = self.by_name.entry(name.to_owned()).or_default();
         let offset = stream.next();
@@ -43,28 +43,28 @@
         offset
     }
 
-    /// Drops all but the newest `retain` records of each stream; 0 keeps all.
+    /// Drops all but the newest `retain` records of each stream; 0 retains all.
     pub fn trim(&mut self, retain: usize) {
         for stream in self.by_name.values_mut() {
             stream.trim(retain);
         }
     }
 
-    /// Up to `max` records from offset `from` on.
+    /// Reads up to `max` records from offset `from` on.
     #[must_use]
-    pub fn read(&self, name: &str, from: u64, max: usize) -> Found {
+    pub fn read(&self, name: &str, from: u64, max: usize) -> ReadResult {
         let Some(stream) = self.by_name.get(name) else {
-            return Found::Page(LogPage::default());
+            return ReadResult::Page(LogPage::default());
         };
         if from < stream.first {
-            return Found::Trimmed {
+            return ReadResult::Trimmed {
                 first: stream.first,
             };
         }
-        Found::Page(stream.page(from, max))
+        ReadResult::Page(stream.page(from, max))
     }
 
-    /// First and next offset of each stream.
+    /// Returns the first and the next offset of each stream.
     #[must_use]
     pub fn bounds(&self) -> BTreeMap<String, (u64, u64)> {
         let mut bounds = BTreeMap::new();
@@ -94,13 +94,13 @@
         let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
         let mut records = Vec::new();
         let mut size = 0;
-        for (place, data) in self.records.iter().enumerate().skip(skip) {
+        for (index, data) in self.records.iter().enumerate().skip(skip) {
             size += data.len();
             if records.len() >= max || (size > PAGE_BYTES && !records.is_empty()) {
                 break;
             }
             records.push(LogRecord {
-                offset: self.first + place as u64,
+                offset: self.first + index as u64,
                 data: data.to_vec(),
             });
         }
--- a/standins/src/relay/forward.rs
+++ b/standins/src/relay/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards TCP connections to one target.
+//! TCP forwarder with fault switches.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,31 +13,31 @@
 
 use crate::fault::{BaseFault, Fault};
 
-/// Bytes forwarded at once.
-const CHUNK: usize = 16 << 10;
+/// Size of the copy buffer, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Switches of the relay.
+/// Fault switches of the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RelayFault {
-    /// Connections are closed, and new ones at once after their accept.
+    /// Existing connections are closed, and new ones as soon as they are accepted.
     pub cut: bool,
-    /// Connections stay open but carry nothing; what was sent comes later.
+    /// Connections stay open, but their data is held back until this is reset.
     pub freeze: bool,
 }
 
 impl Fault for RelayFault {
-    /// None of them: the control interface itself never fails.
+    /// All off: the control interface itself never fails.
     fn base(&self) -> BaseFault {
         BaseFault::default()
     }
 }
 
-/// A running forwarder; ends when it is dropped.
+/// A running forwarder, which stops when it is dropped.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
-    switch: Arc<watch::Sender<RelayFault>>,
+    faults: Arc<watch::Sender<RelayFault>>,
     task: JoinHandle<()>,
 }
 
@@ -49,104 +49,106 @@
     pub async fn bind(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let switch = Arc::new(watch::Sender::new(RelayFault::default()));
-        let task = tokio::spawn(run(listener, target, Arc::clone(&switch)));
+        let faults = Arc::new(watch::Sender::new(RelayFault::default()));
+        let task = tokio::spawn(run(listener, target, Arc::clone(&faults)));
         Ok(Self {
             address,
-            switch,
+            faults,
             task,
         })
     }
 
-    /// The address that it accepts connections on.
+    /// Address that the relay accepts connections on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The switches now.
+    /// Current state of the switches.
     #[must_use]
     pub fn fault(&self) -> RelayFault {
-        *self.switch.borrow()
+        *self.faults.borrow()
     }
 
-    /// Turns the switches.
+    /// Sets the switches.
     pub fn set(&self, fault: RelayFault) {
-        self.switch.send_replace(fault);
+        self.faults.send_replace(fault);
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // The connections are owned by the task and end with it.
+        // The task owns the connections, which close with it.
         self.task.abort();
     }
 }
 
-async fn run(listener: TcpListener, target: SocketAddr, switch: Arc<watch::Sender<RelayFault>>) {
-    let mut links = JoinSet::new();
+async fn run(listener: TcpListener, target: SocketAddr, faults: Arc<watch::Sender<RelayFault>>) {
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
-                let Ok((near, _peer)) = accepted else {
+                let Ok((client, _peer)) = accepted else {
                     continue;
                 };
-                links.spawn(link(near, target, switch.subscribe()));
+                connections.spawn(forward(client, target, faults.subscribe()));
             }
-            Some(_ended) = links.join_next() => {}
+            Some(_ended) = connections.join_next() => {}
         }
     }
 }
 
-/// One connection: ends when either side ends it or the relay is cut.
-async fn link(near: TcpStream, target: SocketAddr, switch: watch::Receiver<RelayFault>) {
-    if switch.borrow().cut {
+/// Forwards one connection until either side closes it or the relay is cut.
+async fn forward(client: TcpStream, target: SocketAddr, faults: watch::Receiver<RelayFault>) {
+    if faults.borrow().cut {
         return;
     }
-    // A frozen link accepts and then says nothing.
-    if thawed(switch.clone()).await.is_err() {
+    // A frozen relay accepts connections, but forwards nothing.
+    if wait_until_thawed(faults.clone()).await.is_err() {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Small frames must not wait for each other.
-    if near.set_nodelay(true).is_err() || far.set_nodelay(true).is_err() {
+    // Without this, Nagle's algorithm would delay small frames.
+    if client.set_nodelay(true).is_err() || server.set_nodelay(true).is_err() {
         return;
     }
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let up = pump(near_read, far_write, switch.clone());
-    let down = pump(far_read, near_write, switch.clone());
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let up = copy(client_read, server_write, faults.clone());
+    let down = copy(server_read, client_write, faults.clone());
     tokio::select! {
         _ended = async { tokio::join!(up, down) } => {}
-        () = cut(switch.clone()) => {}
+        () = wait_until_cut(faults.clone()) => {}
     }
 }
 
-async fn pump(
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    switch: watch::Receiver<RelayFault>,
+    faults: watch::Receiver<RelayFault>,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(size) = from.read(&mut buffer).await {
-        if size == 0 || thawed(switch.clone()).await.is_err() {
+        if size == 0 || wait_until_thawed(faults.clone()).await.is_err() {
             break;
         }
         if to.write_all(&buffer[..size]).await.is_err() {
             break;
         }
     }
-    // The other side sees the end of this direction; it may be gone already.
+    // Passes the end of this direction on. The other side may be closed already.
     drop(to.shutdown().await);
 }
 
-async fn thawed(mut switch: watch::Receiver<RelayFault>) -> Result<(), watch::error::RecvError> {
-    switch.wait_for(|fault| !fault.freeze).await.map(drop)
+async fn wait_until_thawed(
+    mut faults: watch::Receiver<RelayFault>,
+) -> Result<(), watch::error::RecvError> {
+    faults.wait_for(|fault| !fault.freeze).await.map(drop)
 }
 
-async fn cut(mut switch: watch::Receiver<RelayFault>) {
-    // The sender lives as long as the relay.
-    drop(switch.wait_for(|fault| fault.cut).await);
+async fn wait_until_cut(mut faults: watch::Receiver<RelayFault>) {
+    // Fails only when the relay, which holds the sender, is dropped.
+    drop(faults.wait_for(|fault| fault.cut).await);
 }
--- a/standins/src/relay/mod.rs
+++ b/standins/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder that tests cut and freeze.
+//! A TCP relay that tests can cut and freeze.
 
 mod forward;
 mod server;
--- a/standins/src/relay/server.rs
+++ b/standins/src/relay/server.rs
@@ -11,7 +11,7 @@
 
 use super::forward::{Relay, RelayFault};
 use crate::cli::{self, About, Args};
-use crate::fault::{Panel, Switches};
+use crate::fault::{FaultControl, Switches};
 use crate::host::{Host, Standin, refuse};
 
 struct RelayServer {
@@ -49,11 +49,11 @@
 
 #[async_trait(?Send)]
 impl Standin for RelayServer {
-    fn panel(&self) -> &dyn Panel {
+    fn faults(&self) -> &dyn FaultControl {
         &self.switches
     }
 
-    fn turned(&self) {
+    fn on_faults_changed(&self) {
         self.relay.set(self.switches.get());
     }
 
--- a/standins/src/service/mod.rs
+++ b/standins/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: it echoes calls and counts executions.
+//! Stand-in for a plain service, which echoes calls and counts executions.
 
 mod server;
 
--- a/standins/src/service/server.rs
+++ b/standins/src/service/server.rs
@@ -1,4 +1,4 @@
-//! The service's HTTP interface and its switches.
+//! The service's HTTP interface and fault switches.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -14,26 +14,26 @@
 
 use crate::cli::{self, About, Args};
 use crate::engine::Run;
-use crate::fault::{BaseFault, Fault, Panel, Switches};
+use crate::fault::{BaseFault, Fault, FaultControl, Switches};
 use crate::host::{self, BODY_LIMIT, Host, Standin, json_answer, refuse};
 
-/// Calls that a service reports as its size.
-const SLOTS: u64 = 64;
+/// Capacity that the load report states, in concurrent calls.
+const REPORTED_SLOTS: u64 = 64;
 
-/// Switches of the service.
+/// Fault switches of the service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFault {
     /// Switches that every stand-in has.
     #[serde(flatten)]
     pub base: BaseFault,
-    /// Time that each call runs (ms).
+    /// Duration of each call, in ms.
     pub run_ms: u64,
-    /// New work is answered 503 with `x-draining: true`.
+    /// New calls get 503 with `x-draining: true`.
     pub draining: bool,
-    /// The load report says that the service is draining, but new work is taken.
+    /// The load report says that the service is draining, but new calls are accepted.
     pub told_draining: bool,
-    /// New work is answered 500 at once and does not run.
+    /// New calls get 500 at once and do not run.
     pub fail_fast: bool,
 }
 
@@ -78,7 +78,7 @@
     args.host(Arc::new(ServiceServer(Arc::new(shared))), Vec::new())
 }
 
-/// The answer to a call: its method, its path with the query, and its body.
+/// Builds the answer to a call: its method, its path with the query, and its body.
 #[must_use]
 pub fn echo(method: &str, target: &str, body: &str) -> Value {
     json!({ "method": method, "target": target, "body": body })
@@ -86,7 +86,7 @@
 
 #[async_trait(?Send)]
 impl Standin for ServiceServer {
-    fn panel(&self) -> &dyn Panel {
+    fn faults(&self) -> &dyn FaultControl {
         &self.0.switches
     }
 
@@ -118,7 +118,8 @@
         }
         let shared = Arc::clone(&self.0);
         let time = Duration::from_millis(fault.run_ms);
-        // What has begun runs to its end also when the caller gives up.
+        // The call runs in its own task, so that it completes even if the client
+        // disconnects.
         let run = tokio::spawn(async move { shared.run(&key, time).await });
         if run.await.is_err() {
             return refuse(StatusCode::INTERNAL_SERVER_ERROR, "the run broke off");
@@ -164,7 +165,7 @@
         let report = json!({
             "running": running,
             "waiting": 0,
-            "slots": SLOTS,
+            "slots": REPORTED_SLOTS,
             "kv_used": 0.0,
             "draining": fault.draining || fault.told_draining,
             "age_ms": 0,
--- a/standins/src/vms/mod.rs
+++ b/standins/src/vms/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-in for the platform's lagging list of VMs.
+//! Stand-in for the platform's VM list, which lags behind.
 
 mod server;
 mod state;
 
 pub use server::{VmsFault, main};
-pub use state::{Lagging, Vm, VmList, VmState};
+pub use state::{LaggedList, Vm, VmList, VmState};
--- a/standins/src/vms/server.rs
+++ b/standins/src/vms/server.rs
@@ -1,4 +1,4 @@
-//! The VM list's HTTP interface and its switches.
+//! The VM list's HTTP interface and fault switches.
 
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
@@ -11,19 +11,19 @@
 use serde_json::json;
 use swiftlink_shell::web::{Body, Incoming};
 
-use super::state::{Lagging, Vm, VmState};
+use super::state::{LaggedList, Vm, VmState};
 use crate::cli::{self, About, Args};
-use crate::fault::{BaseFault, Fault, Panel, Switches};
+use crate::fault::{BaseFault, Fault, FaultControl, Switches};
 use crate::host::{BODY_LIMIT, Host, Standin, json_answer, refuse};
 
-/// Switches of the VM list.
+/// Fault switches of the VM list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct VmsFault {
     /// Switches that every stand-in has.
     #[serde(flatten)]
     pub base: BaseFault,
-    /// Time between a set and its being shown (ms).
+    /// Delay between a change of the list and its publication, in ms.
     pub lag_ms: u64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Body of a set.
+/// Request body that replaces the list.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SetVms {
@@ -41,7 +41,7 @@
 }
 
 struct VmsServer {
-    list: Mutex<Lagging>,
+    list: Mutex<LaggedList>,
     switches: Switches<VmsFault>,
     start: Instant,
 }
@@ -54,7 +54,7 @@
         about: "stands in for the platform's VM list",
         options: |options| {
             options.optmulti("", "vm", "a live VM at the start", "NAME:DOMAIN");
-            options.optopt("", "lag-ms", "time between a set and its being shown", "MS");
+            options.optopt("", "lag-ms", "delay before a changed list is shown", "MS");
             options.optopt("", "seed", "seed of the faults' draws", "N");
         },
     };
@@ -76,7 +76,7 @@
         ..VmsFault::default()
     };
     let server = VmsServer {
-        list: Mutex::new(Lagging::new(vms)),
+        list: Mutex::new(LaggedList::new(vms)),
         switches: Switches::new(fault),
         start: Instant::now(),
     };
@@ -104,7 +104,7 @@
 
 #[async_trait(?Send)]
 impl Standin for VmsServer {
-    fn panel(&self) -> &dyn Panel {
+    fn faults(&self) -> &dyn FaultControl {
         &self.switches
     }
 
@@ -121,6 +121,6 @@
         }
         let lag_ms = self.switches.get().lag_ms;
         let mut list = self.list.lock().expect("no holder panics");
-        json_answer(StatusCode::OK, list.shown(self.now_ms(), lag_ms))
+        json_answer(StatusCode::OK, list.published(self.now_ms(), lag_ms))
     }
 }
--- a/standins/src/vms/state.rs
+++ b/standins/src/vms/state.rs
@@ -1,4 +1,4 @@
-//! The VM list and its lag. No I/O; time is an argument.
+//! The VM list and its lag, without I/O. Time is an argument.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 pub enum VmState {
     /// In use.
     Live,
-    /// Will be taken away soon.
+    /// Will be removed soon.
     Leaving,
 }
 
@@ -20,62 +20,62 @@
 pub struct Vm {
     /// Name of the VM.
     pub name: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the VM.
     pub domain: String,
-    /// State as listed.
+    /// Listed state.
     pub state: VmState,
 }
 
-/// The list as it is shown: the newest set that is older than the lag.
+/// A published list.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct VmList {
-    /// Grows by one with each set.
+    /// Incremented by each change of the list.
     pub version: u64,
-    /// The VMs; one that is not listed is gone.
+    /// Existing VMs; an unlisted VM is gone.
     pub vms: Vec<Vm>,
 }
 
-/// Sets of the list, the shown one first, the ones to be shown later behind it.
+/// The list with a lag: publishes the newest version that is older than the lag.
 #[derive(Debug, Default)]
-pub struct Lagging {
-    shown: VmList,
-    later: VecDeque<(u64, VmList)>,
+pub struct LaggedList {
+    published: VmList,
+    pending: VecDeque<(u64, VmList)>,
     version: u64,
 }
 
-impl Lagging {
-    /// Starts with a list that is shown at once.
+impl LaggedList {
+    /// Creates a list with `vms`, which are published at once.
     #[must_use]
     pub fn new(vms: Vec<Vm>) -> Self {
-        let shown = VmList { version: 1, vms };
+        let published = VmList { version: 1, vms };
         Self {
-            shown,
-            later: VecDeque::new(),
+            published,
+            pending: VecDeque::new(),
             version: 1,
         }
     }
 
-    /// Takes a new list at `now_ms`; returns its version.
+    /// Replaces the list at `now_ms` and returns its version.
     pub fn set(&mut self, now_ms: u64, vms: Vec<Vm>) -> u64 {
         self.version += 1;
         let list = VmList {
             version: self.version,
             vms,
         };
-        self.later.push_back((now_ms, list));
+        self.pending.push_back((now_ms, list));
         self.version
     }
 
-    /// The list that is shown at `now_ms` with a lag of `lag_ms`.
-    pub fn shown(&mut self, now_ms: u64, lag_ms: u64) -> &VmList {
-        while let Some((set_ms, _list)) = self.later.front() {
+    /// Returns the list that is published at `now_ms` with a lag of `lag_ms`.
+    pub fn published(&mut self, now_ms: u64, lag_ms: u64) -> &VmList {
+        while let Some((set_ms, _list)) = self.pending.front() {
             if now_ms < set_ms.saturating_add(lag_ms) {
                 break;
             }
-            if let Some((_set_ms, list)) = self.later.pop_front() {
-                self.shown = list;
+            if let Some((_set_ms, list)) = self.pending.pop_front() {
+                self.published = list;
             }
         }
-        &self.shown
+        &self.published
     }
 }
--- a/standins/tests/states.rs
+++ b/standins/tests/states.rs
@@ -1,9 +1,9 @@
-//! The stand-ins' state machines: offsets and retention, lag, batching, delivery.
+//! State machines of the stand-ins: offsets and retention, lag, batching, delivery.
 
 use bytes::Bytes;
 use swiftlink_standins::engine::{Batch, Delivery, Faults, Job, Phase, Step};
-use swiftlink_standins::log::{Found, Streams};
-use swiftlink_standins::vms::{Lagging, Vm, VmState};
+use swiftlink_standins::log::{ReadResult, Streams};
+use swiftlink_standins::vms::{LaggedList, Vm, VmState};
 use swiftlink_standins::{BaseFault, Switches, engine};
 
 fn job(key: &str, prompt: &str, priority: u32) -> Job {
@@ -33,46 +33,46 @@
         let data = Bytes::from(no.to_string());
         assert_eq!(streams.append("a", data, 3), no);
     }
-    assert_eq!(streams.read("a", 1, 10), Found::Trimmed { first: 2 });
-    let Found::Page(page) = streams.read("a", 3, 10) else {
+    assert_eq!(streams.read("a", 1, 10), ReadResult::Trimmed { first: 2 });
+    let ReadResult::Page(page) = streams.read("a", 3, 10) else {
         panic!("offset 3 is kept");
     };
     assert_eq!((page.first, page.next), (2, 5));
     let offsets: Vec<u64> = page.records.iter().map(|record| record.offset).collect();
     assert_eq!(offsets, [3, 4]);
     streams.trim(1);
-    assert_eq!(streams.read("a", 3, 10), Found::Trimmed { first: 4 });
+    assert_eq!(streams.read("a", 3, 10), ReadResult::Trimmed { first: 4 });
     assert_eq!(streams.bounds()["a"], (4, 5));
 }
 
 #[test]
 fn unknown_stream_and_far_offset_are_empty() {
     let mut streams = Streams::default();
-    let Found::Page(page) = streams.read("none", 7, 10) else {
+    let ReadResult::Page(page) = streams.read("none", 7, 10) else {
         panic!("an unknown stream is empty");
     };
     assert!(page.records.is_empty());
     streams.append("a", Bytes::from_static(b"x"), 0);
-    let Found::Page(page) = streams.read("a", 9, 10) else {
+    let ReadResult::Page(page) = streams.read("a", 9, 10) else {
         panic!("an offset past the end is empty");
     };
     assert!(page.records.is_empty());
 }
 
 #[test]
-fn vm_list_shows_sets_after_the_lag() {
+fn vm_list_publishes_changes_after_the_lag() {
     let vm = |state| Vm {
         name: "vm-0".to_owned(),
         domain: "d".to_owned(),
         state,
     };
-    let mut list = Lagging::new(vec![vm(VmState::Live)]);
+    let mut list = LaggedList::new(vec![vm(VmState::Live)]);
     assert_eq!(list.set(1_000, vec![vm(VmState::Leaving)]), 2);
     list.set(1_500, Vec::new());
-    assert_eq!(list.shown(2_999, 2_000).version, 1);
-    assert_eq!(list.shown(3_000, 2_000).version, 2);
-    assert_eq!(list.shown(3_499, 2_000).vms[0].state, VmState::Leaving);
-    assert!(list.shown(3_500, 2_000).vms.is_empty());
+    assert_eq!(list.published(2_999, 2_000).version, 1);
+    assert_eq!(list.published(3_000, 2_000).version, 2);
+    assert_eq!(list.published(3_499, 2_000).vms[0].state, VmState::Leaving);
+    assert!(list.published(3_500, 2_000).vms.is_empty());
 }
 
 #[test]
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn cancelled_work_stops_and_is_swept() {
+fn cancelled_requests_stop_and_are_dropped() {
     let mut batch = Batch::default();
     let no = batch.submit(job("k", "tokens=50", 1));
     batch.step(0, 4, 10);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn answers_are_a_function_of_the_prompt() {
+fn answers_are_deterministic() {
     let text = engine::answer("why tokens=7?", 100);
     assert_eq!(text, engine::answer("why tokens=7?", 100));
     assert_eq!(text.split_whitespace().count(), 7);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn switches_change_one_by_one() {
+fn a_patch_changes_only_the_named_switches() {
     let switches = Switches::new(BaseFault::default());
     switches
         .patch(br#"{"outage":true}"#)
