--- a/crates/bench/src/path/bed.rs
+++ b/crates/bench/src/path/bed.rs
@@ -47,7 +47,7 @@
     let version = fleet
         .api
         .apply(vec![change("server", engine.process.name(), spec)]);
-    fleet.in_force(version.await?).await?;
+    fleet.wait_for_version(version.await?).await?;
     Ok(fleet)
 }
 
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use swiftlink_testkit::caller::{Answer, Ask, Streaming};
-use swiftlink_testkit::checker::{Call, End};
+use swiftlink_testkit::caller::{Answer, ChatRequest, Streaming};
+use swiftlink_testkit::checker::{Call, CallOutcome};
 use swiftlink_testkit::fleet::{Fleet, MODEL, Tenant};
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
 use swiftlink_testkit::until::until;
 use tokio::task::JoinSet;
 
@@ -24,8 +24,8 @@
 }
 
 /// One position of an engine's switches.
-fn fault(draw: &mut Draw) -> Value {
-    let pick = |draw: &mut Draw, percent, limit| {
+fn fault(draw: &mut SeededRng) -> Value {
+    let pick = |draw: &mut SeededRng, percent, limit| {
         let value = 1 + draw.below(limit);
         draw.chance(percent).then_some(value)
     };
@@ -44,7 +44,7 @@
     rounds("faulty_engines_give_everyone_its_own_answer", faulty).await;
 }
 
-async fn faulty(mut draw: Draw) {
+async fn faulty(mut draw: SeededRng) {
     let plan = plan().engines(3).tenants(tenants()).relayed();
     let fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
@@ -61,14 +61,14 @@
             let engine = format!("engine-{}", draw.index(fleet.engines.len()));
             assert!(fleet.net.cut_where(|_from, to| to == engine) > 0);
             tokio::time::sleep(Duration::from_millis(draw.below(50))).await;
-            fleet.net.mend();
+            fleet.net.heal();
         }
         hammer.until("some answers", |told| told.len() >= 12).await;
     }
     let told = hammer.stop().await;
     say(&format!("  {:?}", counts(&told)));
     let calls = recorder.calls();
-    let is_whole = |call: &&Call| matches!(call.end, End::Whole { .. });
+    let is_whole = |call: &&Call| matches!(call.outcome, CallOutcome::Complete { .. });
     let whole: BTreeSet<_> = calls
         .iter()
         .filter(is_whole)
@@ -88,7 +88,7 @@
 /// A caller that has seen a part of its answer.
 struct Reading {
     tenant: usize,
-    ask: Ask,
+    ask: ChatRequest,
     began: u64,
     stream: Streaming,
     text: String,
@@ -108,8 +108,8 @@
         while let Some(event) = self.stream.next().await {
             self.last = event.id;
         }
-        let seen = self.stream.so_far();
-        assert!(!seen.whole, "the killed router sent all: {seen:?}");
+        let seen = self.stream.received();
+        assert!(!seen.is_complete, "the killed router sent all: {seen:?}");
         self.text.push_str(&seen.text);
         let caller = fleet.caller(self.tenant);
         // A router that holds no rights yet may ask the caller to come back.
@@ -127,7 +127,7 @@
     }
 }
 
-async fn resumed(mut draw: Draw) {
+async fn resumed(mut draw: SeededRng) {
     let plan = plan().vms(4, 4).tenants(tenants());
     let mut fleet = plan.start().await.expect("the fleet starts");
     for engine in &fleet.engines {
@@ -139,7 +139,9 @@
     for number in 0..15 {
         let tenant = number % TENANTS.len();
         let prompt = format!("part {number} of the deed tokens=200");
-        let mut ask = Ask::new(MODEL, &prompt).with_key(&new_key()).streamed();
+        let mut ask = ChatRequest::new(MODEL, &prompt)
+            .with_key(&new_key())
+            .streamed();
         ask.max_tokens = 200;
         readings.push(begin(&fleet, &recorder, tenant, first, ask).await);
     }
@@ -184,7 +186,7 @@
         assert!(rest.is_served(), "{rest:?}");
         rest.text.insert_str(0, &text);
         assert_eq!(rest.text, expected(&ask));
-        recorder.note(sent(&fleet, tenant, &ask), began, End::from(&rest));
+        recorder.note(sent(&fleet, tenant, &ask), began, CallOutcome::from(&rest));
     }
     for at in [first, second] {
         fleet.routers[at].restart().expect("it starts");
@@ -200,7 +202,7 @@
     recorder: &Recorder,
     tenant: usize,
     router: usize,
-    ask: Ask,
+    ask: ChatRequest,
 ) -> Reading {
     let began = recorder.tick();
     let caller = fleet.caller(tenant);
@@ -218,7 +220,7 @@
 }
 
 /// A stream is nobody's but its own workspace's, and no id can be made up.
-async fn refuse_strangers(fleet: &Fleet, draw: &mut Draw, readings: &[Reading]) {
+async fn refuse_strangers(fleet: &Fleet, draw: &mut SeededRng, readings: &[Reading]) {
     for reading in readings {
         let stranger = fleet.caller(draw.other(TENANTS.len(), reading.tenant));
         let router = fleet.router(draw.index(4));
--- a/tests/testsuite/billing.rs
+++ b/tests/testsuite/billing.rs
@@ -9,11 +9,11 @@
 use swiftlink_budget::Fold;
 use swiftlink_log::{Fold as _, Step};
 use swiftlink_standins::relay::RelayFault;
-use swiftlink_testkit::caller::Ask;
-use swiftlink_testkit::checker::{Accounts, End, History};
+use swiftlink_testkit::caller::ChatRequest;
+use swiftlink_testkit::checker::{Accounts, CallOutcome, History};
 use swiftlink_testkit::fleet::{Fleet, MODEL, Plan, change};
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
 use swiftlink_testkit::until::until;
 use swiftlink_wire::log::{ChargeFate, fate};
 use tokio::task::JoinSet;
@@ -40,7 +40,10 @@
     let spec = json!({ "min_grant": AHEAD });
     let version = fleet.api.apply(vec![change("budget", "lannec", spec)]);
     let version = version.await.expect("a change");
-    fleet.in_force(version).await.expect("it is in force");
+    fleet
+        .wait_for_version(version)
+        .await
+        .expect("it is in force");
     let recorder = Arc::new(Recorder::default());
     for router in 0..fleet.routers.len() {
         served(&fleet, &recorder, router).await;
@@ -51,19 +54,19 @@
 /// Sends new requests to the router until it serves one.
 async fn served(fleet: &Fleet, recorder: &Recorder, router: usize) {
     let answer = until("an answer", async || {
-        let ask = Ask::new(MODEL, "first tokens=3").with_key(&new_key());
+        let ask = ChatRequest::new(MODEL, "first tokens=3").with_key(&new_key());
         let answer = send(fleet, recorder, 0, router, &ask).await;
         answer.is_served().then_some(())
     });
     answer.await.expect("the router serves in the end");
 }
 
-fn questions(draw: &mut Draw, count: usize) -> Vec<Ask> {
+fn questions(draw: &mut SeededRng, count: usize) -> Vec<ChatRequest> {
     let mut asks = Vec::new();
     for number in 0..count {
         let length = 1 + draw.below(40);
         let prompt = format!("bill {number} once tokens={length}");
-        let mut ask = Ask::new(MODEL, &prompt).with_key(&new_key());
+        let mut ask = ChatRequest::new(MODEL, &prompt).with_key(&new_key());
         ask.stream = draw.chance(50);
         asks.push(ask);
     }
@@ -71,7 +74,7 @@
 }
 
 /// Sends the key at the routers `at` in turn until a whole answer comes.
-async fn insist(fleet: &Fleet, recorder: &Recorder, at: &[usize], ask: &Ask) {
+async fn insist(fleet: &Fleet, recorder: &Recorder, at: &[usize], ask: &ChatRequest) {
     for number in 0..TRIES {
         let answer = send(fleet, recorder, 0, at[number % at.len()], ask).await;
         if answer.is_served() {
@@ -86,8 +89,8 @@
 /// Checks that exactly the keys with a whole answer are charged, each once.
 async fn check_bills(fleet: &Fleet, recorder: &Recorder) -> History {
     let history = check_all(fleet, recorder.calls()).await;
-    let whole = |end: &End| matches!(end, End::Whole { .. });
-    let calls = history.calls.iter().filter(|call| whole(&call.end));
+    let whole = |end: &CallOutcome| matches!(end, CallOutcome::Complete { .. });
+    let calls = history.calls.iter().filter(|call| whole(&call.outcome));
     let keys: BTreeSet<_> = calls.map(|call| call.key.clone()).collect();
     let accounts = Accounts::fold(&history.streams);
     let charged = accounts.charges.keys().map(|(_workspace, key)| key.clone());
@@ -126,7 +129,7 @@
     rounds("one_key_at_two_routers_is_billed_once", doubled).await;
 }
 
-async fn doubled(mut draw: Draw) {
+async fn doubled(mut draw: SeededRng) {
     let (recorder, fleet) = start(four()).await;
     let fleet = Arc::new(fleet);
     let mut tasks = JoinSet::new();
@@ -155,7 +158,7 @@
     rounds("a_router_killed_before_the_release_bills_once", unreleased).await;
 }
 
-async fn unreleased(mut draw: Draw) {
+async fn unreleased(mut draw: SeededRng) {
     let (recorder, mut fleet) = start(four().relayed()).await;
     let victim = draw.index(4);
     let name = format!("router-{victim}");
@@ -175,7 +178,7 @@
     }
     let all_ran = until("the engines to run all", async || {
         let runs = fleet.runs().await.ok()?;
-        let ran = |ask: &&Ask| {
+        let ran = |ask: &&ChatRequest| {
             let key = ask.key.as_deref();
             let mut runs = runs.iter();
             runs.any(|run| run.finished && Some(run.key.as_str()) == key)
@@ -198,12 +201,12 @@
     let thaw_first = draw.chance(50);
     if thaw_first {
         // What the dead router had sent arrives at the ledgers now.
-        fleet.net.mend();
+        fleet.net.heal();
     }
     for ask in &asks {
         insist(&fleet, &recorder, &others, ask).await;
     }
-    fleet.net.mend();
+    fleet.net.heal();
     switch_log(&fleet, false).await;
     fleet.routers[victim].restart().expect("it starts");
     fleet.routers[victim].ready().await.expect("it is ready");
@@ -220,7 +223,7 @@
     rounds("killed_witnesses_lose_no_bill", unwitnessed).await;
 }
 
-async fn unwitnessed(mut draw: Draw) {
+async fn unwitnessed(mut draw: SeededRng) {
     let (recorder, mut fleet) = start(four()).await;
     switch_log(&fleet, true).await;
     for ask in questions(&mut draw, 12) {
@@ -251,7 +254,7 @@
     rounds(name, released).await;
 }
 
-async fn released(mut draw: Draw) {
+async fn released(mut draw: SeededRng) {
     let (recorder, mut fleet) = start(four()).await;
     switch_log(&fleet, true).await;
     let victim = draw.index(4);
@@ -277,7 +280,7 @@
     rounds("a_release_waits_for_the_charges_of_witnesses", held_back).await;
 }
 
-async fn held_back(mut draw: Draw) {
+async fn held_back(mut draw: SeededRng) {
     let (recorder, mut fleet) = start(four().relayed()).await;
     let victim = draw.index(4);
     let own = format!("ledger-{victim}");
@@ -299,7 +302,7 @@
         assert!(retired(&budget), "released too early: {budget}");
         tokio::time::sleep(RETRY_PAUSE).await;
     }
-    fleet.net.mend();
+    fleet.net.heal();
     let free = |budget: &Value| budget["quarantined"].as_u64() == Some(0);
     let freed = fleet.api.budget_until("lannec", free).await;
     freed.expect("the rest comes back");
--- a/tests/testsuite/config.rs
+++ b/tests/testsuite/config.rs
@@ -6,10 +6,10 @@
 
 use http::Method;
 use serde_json::{Value, json};
-use swiftlink_testkit::caller::Ask;
+use swiftlink_testkit::caller::ChatRequest;
 use swiftlink_testkit::fleet::{Daemon, Fleet, MODEL, Operator, change};
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
 use swiftlink_testkit::spare;
 use swiftlink_testkit::until::until;
 use swiftlink_testkit::versions::Versions;
@@ -89,7 +89,7 @@
     version.expect("a version")
 }
 
-async fn eight_vms(mut draw: Draw) {
+async fn eight_vms(mut draw: SeededRng) {
     let plan = plan().vms(8, 4).engines(1).services(0);
     let mut fleet = plan.start().await.expect("the fleet starts");
     let spare = spare::operator(&fleet, &binaries(), "operator-1").await;
@@ -112,12 +112,12 @@
         assert!(time <= BOUND, "{last} took {time:?}");
     }
     restarts(&mut fleet, &versions, &apis[1], &mut draw).await;
-    assert_eq!(versions.went_back(), Vec::<String>::new());
+    assert_eq!(versions.regressions(), Vec::<String>::new());
 }
 
 /// A router, a ledger and the operator start again with nothing kept; a change that is
 /// accepted meanwhile is in force on the others in time, and on them once they are up.
-async fn restarts(fleet: &mut Fleet, versions: &Versions, api: &Operator, draw: &mut Draw) {
+async fn restarts(fleet: &mut Fleet, versions: &Versions, api: &Operator, draw: &mut SeededRng) {
     let (router, ledger) = (draw.index(8), draw.index(8));
     let replaced = [
         format!("router-{router}"),
@@ -149,7 +149,7 @@
 
 /// A ledger and an operator cut from the log follow their peers; a router whose only
 /// ledger is behind keeps what it has.
-async fn cut_from_log(_draw: Draw) {
+async fn cut_from_log(_draw: SeededRng) {
     let plan = plan().relayed().engines(1).services(0);
     let plan = plan.router(json!({ "stale_ms": STALE_MS }));
     let fleet = plan.start().await.expect("the fleet starts");
@@ -182,14 +182,14 @@
     let answer = fleet.caller(0).ask(fleet.router(2), &ask()).await;
     assert_eq!(answer.slug().as_deref(), Some("unavailable"), "{answer:?}");
     assert_eq!(answer.outcome.as_deref(), Some("not-run"), "{answer:?}");
-    fleet.net.mend();
+    fleet.net.heal();
     let reached = versions.reach(version, Instant::now(), |_| true).await;
     reached.expect("all are current again");
-    assert_eq!(versions.went_back(), Vec::<String>::new());
+    assert_eq!(versions.regressions(), Vec::<String>::new());
 }
 
-fn ask() -> Ask {
-    Ask::new(MODEL, "who owned parcel 7? tokens=4").with_key(&new_key())
+fn ask() -> ChatRequest {
+    ChatRequest::new(MODEL, "who owned parcel 7? tokens=4").with_key(&new_key())
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -222,7 +222,7 @@
     version
 }
 
-async fn old_records_are_gone(_draw: Draw) {
+async fn old_records_are_gone(_draw: SeededRng) {
     let plan = plan().engines(1).services(0);
     let plan = plan.ledger(json!({ "snapshot_every": SNAPSHOT_EVERY }));
     let mut fleet = plan.start().await.expect("the fleet starts");
@@ -247,7 +247,7 @@
     fleet.routers[0].ready().await.expect("it joins again");
     let answer = send(&fleet, &recorder, 0, 0, &ask()).await;
     assert!(answer.is_served(), "{answer:?}");
-    assert_eq!(versions.went_back(), Vec::<String>::new());
+    assert_eq!(versions.regressions(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/testsuite/faults.rs
+++ b/tests/testsuite/faults.rs
@@ -6,8 +6,8 @@
 
 use http::Method;
 use serde_json::json;
-use swiftlink_testkit::caller::Ask;
-use swiftlink_testkit::checker::End;
+use swiftlink_testkit::caller::ChatRequest;
+use swiftlink_testkit::checker::CallOutcome;
 use swiftlink_testkit::fleet::{Fleet, MODEL, SERVICE};
 use swiftlink_testkit::recorder::Recorder;
 use swiftlink_testkit::until::until;
@@ -17,8 +17,8 @@
 /// A planned stop must end within this.
 const STOP_LIMIT: Duration = Duration::from_secs(30);
 
-fn ask(prompt: &str) -> Ask {
-    Ask::new(MODEL, prompt).with_key(&new_key())
+fn ask(prompt: &str) -> ChatRequest {
+    ChatRequest::new(MODEL, prompt).with_key(&new_key())
 }
 
 /// Sends requests through the router until one is served.
@@ -84,7 +84,7 @@
     // out"). While that charge is unstored nothing more is taken.
     assert!(served_cut <= 1, "{served_cut} were served");
     send(&fleet, &recorder, 0, 1, &ask("elsewhere tokens=5")).await;
-    fleet.net.mend();
+    fleet.net.heal();
     served(&fleet, &recorder, 0).await;
     check_all(&fleet, recorder.calls()).await;
 }
@@ -110,8 +110,8 @@
     }
     fleet.routers[0].process.kill();
     let cut = stream.finish().await;
-    assert!(!cut.whole, "{cut:?}");
-    recorder.note(sent(&fleet, 0, &ask), begun, End::from(&cut));
+    assert!(!cut.is_complete, "{cut:?}");
+    recorder.note(sent(&fleet, 0, &ask), begun, CallOutcome::from(&cut));
     let last = &cut.events.last().expect("events came").id;
     let begun = recorder.tick();
     let rest = caller
@@ -121,7 +121,7 @@
     let mut rest = rest.finish().await;
     assert!(rest.is_served(), "{rest:?}");
     rest.text.insert_str(0, &cut.text);
-    recorder.note(sent(&fleet, 0, &ask), begun, End::from(&rest));
+    recorder.note(sent(&fleet, 0, &ask), begun, CallOutcome::from(&rest));
     fleet.routers[0].restart().expect("it starts");
     fleet.routers[0].ready().await.expect("it is ready");
     served(&fleet, &recorder, 0).await;
@@ -185,7 +185,7 @@
     for (ask, begun, stream) in streams {
         let answer = stream.finish().await;
         assert!(answer.is_served(), "{answer:?}");
-        recorder.note(sent(&fleet, 0, &ask), begun, End::from(&answer));
+        recorder.note(sent(&fleet, 0, &ask), begun, CallOutcome::from(&answer));
     }
     let status = fleet.routers[0].process.wait(STOP_LIMIT).await;
     assert_eq!(
--- a/tests/testsuite/golden.rs
+++ b/tests/testsuite/golden.rs
@@ -11,7 +11,7 @@
 use prost::Message as _;
 use serde_json::{Value, json};
 use swiftlink_budget::CONFIG_STREAM;
-use swiftlink_testkit::caller::{Answer, Ask, Caller, set};
+use swiftlink_testkit::caller::{Answer, Caller, ChatRequest, set};
 use swiftlink_testkit::fleet::{Fleet, MODEL, SERVICE, TOKEN, Tenant};
 use swiftlink_testkit::http::{Call, Http};
 use swiftlink_testkit::records;
@@ -98,7 +98,7 @@
     /// Sends a request that is answered whole.
     async fn call(&mut self, caller: &Caller, request: Call, body: &str) {
         self.asked(&request, body);
-        self.told(&caller.whole(request).await);
+        self.told(&caller.send(request).await);
     }
 
     fn check(&self, name: &str) {
@@ -151,7 +151,7 @@
     let router = fleet.router(0);
     let mut session = Session::default();
 
-    let mut ask = Ask::new(MODEL, "who owned parcel 1204? tokens=4");
+    let mut ask = ChatRequest::new(MODEL, "who owned parcel 1204? tokens=4");
     let body = ask.body().to_string();
     session
         .call(&caller, chat(&caller, router, &body), &body)
@@ -164,7 +164,7 @@
     set(&mut request, "x-priority", "urgent");
     session.call(&caller, request, &body).await;
 
-    let ask = Ask::new(MODEL, "the mill tokens=3").streamed();
+    let ask = ChatRequest::new(MODEL, "the mill tokens=3").streamed();
     let body = ask.body().to_string();
     session.asked(&chat(&caller, router, &body), &body);
     session.told(&caller.ask(router, &ask).await);
@@ -192,7 +192,7 @@
         .call(&stranger, chat(&stranger, router, "{}"), "{}")
         .await;
     let poor = fleet.caller(1);
-    let body = Ask::new(MODEL, "hello").body().to_string();
+    let body = ChatRequest::new(MODEL, "hello").body().to_string();
     session.call(&poor, chat(&poor, router, &body), &body).await;
     session.check("caller_session");
 }
@@ -209,14 +209,14 @@
         .await
         .expect("a pace");
 
-    let ask = Ask::new(MODEL, "the boundary of parcel 7 tokens=12").streamed();
+    let ask = ChatRequest::new(MODEL, "the boundary of parcel 7 tokens=12").streamed();
     let body = ask.body().to_string();
     session.asked(&chat(&caller, fleet.router(0), &body), &body);
     let mut stream = caller.begin(fleet.router(0), &ask).await.expect("a stream");
     for _event in 0..3 {
         stream.next().await.expect("an event");
     }
-    let first = stream.leave();
+    let first = stream.disconnect();
     session.told(&first);
     session.line("(the caller leaves, and resumes at the other router)");
 
--- a/tests/testsuite/hammer.rs
+++ b/tests/testsuite/hammer.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use swiftlink_testkit::caller::{Answer, Ask, Caller};
-use swiftlink_testkit::checker::{Call, End, History};
+use swiftlink_testkit::caller::{Answer, Caller, ChatRequest};
+use swiftlink_testkit::checker::{Call, CallOutcome, History};
 use swiftlink_testkit::fleet::{Fleet, MODEL};
-use swiftlink_testkit::recorder::{Recorder, Sent};
-use swiftlink_testkit::rounds::Draw;
+use swiftlink_testkit::recorder::{Recorder, RequestInfo};
+use swiftlink_testkit::rounds::SeededRng;
 use swiftlink_testkit::until::until;
 use tokio::task::JoinSet;
 
@@ -66,7 +66,7 @@
     pub fn spawn(
         fleet: &Fleet,
         recorder: &Arc<Recorder>,
-        draw: &mut Draw,
+        draw: &mut SeededRng,
         tenants: usize,
         style: Style,
     ) -> Self {
@@ -112,7 +112,7 @@
 }
 
 impl Shared {
-    async fn work(self: Arc<Self>, caller: usize, mut draw: Draw) {
+    async fn work(self: Arc<Self>, caller: usize, mut draw: SeededRng) {
         while !self.stopping.load(Ordering::Relaxed) {
             let tenant = draw.index(self.tenants.len());
             let router = (caller + draw.index(2)) % self.routers.len();
@@ -121,34 +121,34 @@
         }
     }
 
-    fn question(&self, draw: &mut Draw) -> Ask {
+    fn question(&self, draw: &mut SeededRng) -> ChatRequest {
         let number = self.questions.fetch_add(1, Ordering::Relaxed);
         let length = 1 + draw.below(ANSWER);
         let prompt = format!("question {number:05} tokens={length:02}");
-        let mut ask = Ask::new(MODEL, &prompt).with_key(&new_key());
+        let mut ask = ChatRequest::new(MODEL, &prompt).with_key(&new_key());
         ask.max_tokens = ANSWER;
         ask.stream = draw.chance(50);
         ask
     }
 
     /// Sends one key until its end is known, or the tries are used up.
-    async fn ask(&self, draw: &mut Draw, tenant: usize, mut router: usize, ask: &Ask) {
+    async fn ask(&self, draw: &mut SeededRng, tenant: usize, mut router: usize, ask: &ChatRequest) {
         for _try in 0..self.style.tries {
             match self.send(tenant, router, ask).await {
-                End::Whole { .. } => return,
-                End::NotRun => return tokio::time::sleep(REFUSED_PAUSE).await,
-                End::Unknown | End::Cut => {}
+                CallOutcome::Complete { .. } => return,
+                CallOutcome::NotRun => return tokio::time::sleep(REFUSED_PAUSE).await,
+                CallOutcome::Unknown | CallOutcome::Disconnected => {}
             }
             tokio::time::sleep(RETRY_PAUSE).await;
             router = draw.other(self.routers.len(), router);
         }
     }
 
-    async fn send(&self, tenant: usize, router: usize, ask: &Ask) -> End {
+    async fn send(&self, tenant: usize, router: usize, ask: &ChatRequest) -> CallOutcome {
         let (caller, name) = &self.tenants[tenant];
         let began = self.recorder.tick();
         let answer = caller.ask(self.routers[router], ask).await;
-        let end = End::from(&answer);
+        let end = CallOutcome::from(&answer);
         let told = Told {
             router,
             what: what(&answer),
@@ -156,7 +156,7 @@
             began,
         };
         self.told.lock().expect("no holder panics").push(told);
-        let sent = Sent {
+        let sent = RequestInfo {
             key: ask.key.clone().expect("every question has a key"),
             workspace: name.clone(),
             budget: name.clone(),
@@ -177,7 +177,7 @@
 }
 
 /// The most that `ask` may cost, as the routers reserve it.
-pub fn bound(ask: &Ask) -> u64 {
+pub fn bound(ask: &ChatRequest) -> u64 {
     let body = ask.body().to_string();
     let body = swiftlink_stream::parse_request(body.as_bytes(), true);
     let body = body.expect("the question is well-formed");
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -9,8 +9,8 @@
 use serde_json::{Value, json};
 use swiftlink_testkit::fleet::{Fleet, MODEL, SERVICE, Standin, change};
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
-use swiftlink_testkit::traffic::{Mix, Traffic};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
+use swiftlink_testkit::traffic::{Traffic, TrafficOptions};
 use swiftlink_testkit::until::until;
 
 use crate::support::{check_all, plan};
@@ -164,13 +164,13 @@
 }
 
 /// A fleet with the product's own intervals, and callers at it.
-async fn begin(draw: &mut Draw) -> (Fleet, Arc<Recorder>, Traffic) {
+async fn begin(draw: &mut SeededRng) -> (Fleet, Arc<Recorder>, Traffic) {
     let plan = plan().engines(2).services(2);
     let fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    let mix = Mix {
+    let mix = TrafficOptions {
         service: 50,
-        ..Mix::new()
+        ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, draw, &mix);
     let busy = until("work at all servers", async || {
@@ -191,7 +191,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_server_gets_no_new_work() {
-    let history = async |mut draw: Draw| {
+    let history = async |mut draw: SeededRng| {
         let (fleet, recorder, traffic) = begin(&mut draw).await;
         drain(&fleet, true).await;
         // `apply` has answered: the change is accepted.
@@ -203,7 +203,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_on_a_leaving_vm_gets_no_new_work() {
-    let history = async |mut draw: Draw| {
+    let history = async |mut draw: SeededRng| {
         let (fleet, recorder, traffic) = begin(&mut draw).await;
         list(&fleet, Some("leaving")).await;
         watch(&fleet, "VM listed as leaving", Instant::now()).await;
@@ -218,7 +218,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_says_so_gets_no_new_work() {
-    let history = async |mut draw: Draw| {
+    let history = async |mut draw: SeededRng| {
         let (fleet, recorder, traffic) = begin(&mut draw).await;
         // It would still take work, so that the count shows what it is sent.
         switch(&fleet, json!({ "told_draining": true })).await;
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use swiftlink_testkit::caller::Ask;
+use swiftlink_testkit::caller::ChatRequest;
 use swiftlink_testkit::checker::History;
 use swiftlink_testkit::fleet::{Fleet, MODEL, change};
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
-use swiftlink_testkit::traffic::{Mix, Told, Traffic};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
+use swiftlink_testkit::traffic::{AttemptRecord, Traffic, TrafficOptions};
 use swiftlink_testkit::until::until;
 use tokio::task::JoinSet;
 
@@ -92,7 +92,7 @@
                         .net
                         .cut_where(|_from, to| to == "engine-0" || to == "service-0");
                     tokio::time::sleep(CUT / 20).await;
-                    fleet.net.mend();
+                    fleet.net.heal();
                     tokio::time::sleep(CUT / 5).await;
                 }
             }
@@ -106,7 +106,7 @@
                 }
             }
         }
-        fleet.net.mend();
+        fleet.net.heal();
     }
 }
 
@@ -120,7 +120,7 @@
 }
 
 /// The history is worth something: many keys ran, and many were taken elsewhere.
-fn check_worth(told: &[Told], history: &History) {
+fn check_worth(told: &[AttemptRecord], history: &History) {
     let mut routers: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
     for told in told {
         routers.entry(&told.key).or_default().insert(told.router);
@@ -145,7 +145,7 @@
     }
 }
 
-async fn history(mut draw: Draw) {
+async fn history(mut draw: SeededRng) {
     let plan = plan().relayed().services(2).router(short());
     let mut fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
@@ -158,12 +158,12 @@
     for service in &fleet.services {
         service.set(json!({ "run_ms": 60 })).await.expect("a time");
     }
-    let mix = Mix {
+    let mix = TrafficOptions {
         once: 100,
         service: 50,
         tries: 4,
-        patience: PATIENCE,
-        ..Mix::new()
+        try_timeout: PATIENCE,
+        ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     for blow in Blow::ALL {
@@ -193,9 +193,12 @@
     // Every router has rights enough, so that none relays.
     let spec = change("budget", "lannec", json!({ "min_grant": 20_000 }));
     let version = fleet.api.apply(vec![spec]).await.expect("a change");
-    fleet.in_force(version).await.expect("it is in force");
+    fleet
+        .wait_for_version(version)
+        .await
+        .expect("it is in force");
     for router in 0..fleet.routers.len() {
-        let first = Ask::new(MODEL, "first tokens=3").with_key(&new_key());
+        let first = ChatRequest::new(MODEL, "first tokens=3").with_key(&new_key());
         let answer = fleet.caller(0).ask(fleet.router(router), &first).await;
         assert!(answer.is_served(), "{answer:?}");
     }
@@ -212,7 +215,7 @@
     for _number in 0..KEYS {
         let fleet = Arc::clone(&fleet);
         calls.spawn(async move {
-            let ask = Ask::new(MODEL, "signed tokens=3")
+            let ask = ChatRequest::new(MODEL, "signed tokens=3")
                 .with_key(&new_key())
                 .once();
             let mut told = Vec::new();
--- a/tests/testsuite/outage.rs
+++ b/tests/testsuite/outage.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 use swiftlink_testkit::fleet::Fleet;
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
-use swiftlink_testkit::traffic::{Mix, Traffic};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
+use swiftlink_testkit::traffic::{Traffic, TrafficOptions};
 use swiftlink_testkit::until::until;
 
 use crate::support::{check_all, plan};
@@ -103,15 +103,15 @@
     set.await.expect("a switch");
 }
 
-async fn outage(mut draw: Draw) {
+async fn outage(mut draw: SeededRng) {
     let plan = plan().vms(4, 4);
     let plan = plan.ledger(json!({ "append_rate": RATE, "append_burst": BURST }));
     let fleet = plan.start().await.expect("the fleet starts");
     let writers = LEDGERS * u64::from(fleet.shards());
     let recorder = Arc::new(Recorder::default());
-    let mix = Mix {
+    let mix = TrafficOptions {
         callers: 16,
-        ..Mix::new()
+        ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     let busy = until("answers", async || (traffic.served() > 200).then_some(()));
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -4,10 +4,10 @@
 use http::Method;
 use serde_json::{Value, json};
 use swiftlink_standins::{engine, service};
-use swiftlink_testkit::caller::{Answer, Ask, Caller, set};
+use swiftlink_testkit::caller::{Answer, Caller, ChatRequest, set};
 use swiftlink_testkit::checker::Accounts;
 use swiftlink_testkit::fleet::{CALL_TOKENS, Fleet, MODEL, SERVICE, Tenant, change};
-use swiftlink_testkit::recorder::{Recorder, Sent};
+use swiftlink_testkit::recorder::{Recorder, RequestInfo};
 
 use crate::support::{check_all, expected, new_key, plan, send, tokens};
 
@@ -15,8 +15,8 @@
 const PLENTY: u64 = 40_000_000;
 const CHAT: &str = "/v1/chat/completions";
 
-fn ask(prompt: &str) -> Ask {
-    Ask::new(MODEL, prompt).with_key(&new_key())
+fn ask(prompt: &str) -> ChatRequest {
+    ChatRequest::new(MODEL, prompt).with_key(&new_key())
 }
 
 async fn fleet() -> Fleet {
@@ -94,7 +94,7 @@
         "/v1/completions",
         body.to_string().into(),
     );
-    let answer = caller.whole(request).await;
+    let answer = caller.send(request).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.text, engine::answer(prompt, 3));
     assert_eq!(answer.json()["choices"][0]["finish_reason"], "length");
@@ -113,7 +113,7 @@
     let path = format!("/services/{SERVICE}/tiles/12/7");
     for (router, method) in [Method::GET, Method::POST].into_iter().enumerate() {
         let key = new_key();
-        let sent = Sent {
+        let sent = RequestInfo {
             key: key.clone(),
             workspace: "lannec".to_owned(),
             budget: "lannec".to_owned(),
@@ -199,7 +199,7 @@
 async fn post(fleet: &Fleet, caller: &Caller, body: &str) -> Answer {
     let body = body.to_owned().into();
     let request = caller.request(Method::POST, fleet.router(0), CHAT, body);
-    caller.whole(request).await
+    caller.send(request).await
 }
 
 async fn assert_nothing_ran(fleet: &Fleet) {
@@ -226,7 +226,7 @@
     let caller = fleet.caller(0);
     let mut request = caller.request(Method::POST, fleet.router(0), CHAT, "{}".into());
     request.headers_mut().remove("authorization");
-    assert_refused("no key", &caller.whole(request).await, &want);
+    assert_refused("no key", &caller.send(request).await, &want);
     assert_nothing_ran(&fleet).await;
 }
 
@@ -240,12 +240,12 @@
         field: None,
     };
     let answer = caller
-        .ask(fleet.router(0), &Ask::new("no-such-model", "hello"))
+        .ask(fleet.router(0), &ChatRequest::new("no-such-model", "hello"))
         .await;
     assert_refused("model", &answer, &want);
     // A pool of services is no model, and the other way round.
     let answer = caller
-        .ask(fleet.router(0), &Ask::new(SERVICE, "hello"))
+        .ask(fleet.router(0), &ChatRequest::new(SERVICE, "hello"))
         .await;
     assert_refused("service as model", &answer, &want);
     for path in ["/services/none/x", "/services/annals/x", "/v1/nothing"] {
@@ -302,7 +302,7 @@
         let body = ask("hello").body().to_string().into();
         let mut request = caller.request(Method::POST, fleet.router(0), CHAT, body);
         set(&mut request, header, value);
-        let answer = caller.whole(request).await;
+        let answer = caller.send(request).await;
         let want = Want {
             status: 400,
             slug: "malformed",
@@ -382,7 +382,10 @@
             change("class", "dear", dear.clone()),
         ];
         let version = fleet.api.apply(changes).await.expect("a change");
-        fleet.in_force(version).await.expect("it is in force");
+        fleet
+            .wait_for_version(version)
+            .await
+            .expect("it is in force");
     };
     let first = async |router: usize| {
         let answer = fleet
@@ -403,7 +406,7 @@
     fleet
 }
 
-fn dear(prompt: &str) -> Ask {
+fn dear(prompt: &str) -> ChatRequest {
     let mut ask = ask(prompt);
     ask.class = Some("dear".to_owned());
     ask
--- a/tests/testsuite/refusals.rs
+++ b/tests/testsuite/refusals.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use swiftlink_testkit::caller::{Answer, Ask};
-use swiftlink_testkit::checker::{Accounts, End, History};
+use swiftlink_testkit::caller::{Answer, ChatRequest};
+use swiftlink_testkit::checker::{Accounts, CallOutcome, History};
 use swiftlink_testkit::fleet::{Fleet, MODEL, SERVICE, Tenant, change, server};
 use swiftlink_testkit::port;
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
-use swiftlink_testkit::traffic::{Mix, Told, Traffic};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
+use swiftlink_testkit::traffic::{AttemptRecord, Traffic, TrafficOptions};
 use swiftlink_testkit::until::until;
 
 use crate::support::{check_all, new_key, plan, sent};
@@ -30,12 +30,12 @@
 struct Story {
     fleet: Fleet,
     recorder: Arc<Recorder>,
-    draw: Draw,
-    told: Vec<Told>,
+    draw: SeededRng,
+    told: Vec<AttemptRecord>,
 }
 
 impl Story {
-    async fn begin(draw: Draw) -> Self {
+    async fn begin(draw: SeededRng) -> Self {
         let tenants = vec![Tenant::new("lannec", 1_000_000), Tenant::new("poor", 3)];
         let plan = plan().tenants(tenants).relayed();
         let plan = plan.router(json!({ "stale_ms": STALE_MS, "intent_wait_ms": 500 }));
@@ -48,11 +48,11 @@
     }
 
     /// Callers of `mix` until enough of them were told `slug` with `outcome`.
-    async fn phase(&mut self, mix: &Mix, slug: &str, outcome: &str) {
+    async fn phase(&mut self, mix: &TrafficOptions, slug: &str, outcome: &str) {
         let traffic = Traffic::start(&self.fleet, &self.recorder, &mut self.draw, mix);
         let what = format!("refusals {slug} {outcome}");
         let seen = until(&what, async || {
-            let told = traffic.told();
+            let told = traffic.attempts();
             let wanted = told.iter().filter(|told| is(&told.answer, slug, outcome));
             (wanted.count() >= ENOUGH).then_some(())
         });
@@ -64,21 +64,21 @@
     }
 
     /// As [`Story::phase`], while the links to the backend servers are cut again and again.
-    async fn flapping(&mut self, mix: &Mix, slug: &str, outcome: &str) {
+    async fn flapping(&mut self, mix: &TrafficOptions, slug: &str, outcome: &str) {
         let net = std::mem::take(&mut self.fleet.net);
         let flap = async {
             loop {
                 tokio::time::sleep(FLAP).await;
                 net.cut_where(|from, _to| from == "routers");
                 tokio::time::sleep(FLAP / 10).await;
-                net.mend();
+                net.heal();
             }
         };
         tokio::select! {
             () = self.phase(mix, slug, outcome) => {}
             () = flap => {}
         }
-        net.mend();
+        net.heal();
         self.fleet.net = net;
     }
 
@@ -91,7 +91,7 @@
 
     async fn apply(&self, changes: Vec<Value>) {
         let version = self.fleet.api.apply(changes).await.expect("an apply");
-        let in_force = self.fleet.in_force(version).await;
+        let in_force = self.fleet.wait_for_version(version).await;
         in_force.expect("the configuration gets everywhere");
     }
 
@@ -116,7 +116,7 @@
 }
 
 /// Number of answers by status, kind of refusal and outcome.
-fn counts(told: &[Told]) -> BTreeMap<String, usize> {
+fn counts(told: &[AttemptRecord]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for told in told {
         let answer = &told.answer;
@@ -129,8 +129,8 @@
 }
 
 /// Every refusal says what is known, and those that pass say when to come back.
-fn check_forms(told: &[Told]) {
-    for Told { key, answer, .. } in told {
+fn check_forms(told: &[AttemptRecord]) {
+    for AttemptRecord { key, answer, .. } in told {
         if answer.status < 400 || answer.slug().is_none() {
             continue;
         }
@@ -150,9 +150,9 @@
 }
 
 /// No server saw, and no charge names, a key that was told `not-run`.
-fn check_not_run(told: &[Told], history: &History) {
+fn check_not_run(told: &[AttemptRecord], history: &History) {
     let accounts = Accounts::fold(&history.streams);
-    for Told { key, answer, .. } in told {
+    for AttemptRecord { key, answer, .. } in told {
         if answer.outcome.as_deref() != Some("not-run") {
             continue;
         }
@@ -180,8 +180,8 @@
 }
 
 async fn overload(story: &mut Story) {
-    let mix = Mix::new();
-    let poor = Mix {
+    let mix = TrafficOptions::new();
+    let poor = TrafficOptions {
         tenant: POOR,
         ..mix.clone()
     };
@@ -192,7 +192,7 @@
         let slow = json!({ "slots": 1, "pace_ms": 30 });
         engine.set(slow).await.expect("a switch");
     }
-    let many = Mix {
+    let many = TrafficOptions {
         callers: 32,
         service: 0,
         ..mix
@@ -208,9 +208,9 @@
 
 /// Answers that are lost after the work has begun: late, cut, or never given.
 async fn losses(story: &mut Story) {
-    let mix = Mix::new();
+    let mix = TrafficOptions::new();
     story.backends(json!({ "delay_ms": 400 })).await;
-    let late = Mix {
+    let late = TrafficOptions {
         deadline_ms: Some(150),
         service: 0,
         ..mix.clone()
@@ -220,7 +220,7 @@
     for service in &story.fleet.services {
         service.set(json!({ "run_ms": 300 })).await.expect("a time");
     }
-    let cut = Mix {
+    let cut = TrafficOptions {
         service: 100,
         ..mix.clone()
     };
@@ -228,7 +228,7 @@
     for service in &story.fleet.services {
         service.set(json!({ "run_ms": 0 })).await.expect("a time");
     }
-    let hasty = Mix {
+    let hasty = TrafficOptions {
         deadline_ms: Some(2),
         ..mix
     };
@@ -236,7 +236,7 @@
 }
 
 async fn servers(story: &mut Story) {
-    let mix = Mix::new();
+    let mix = TrafficOptions::new();
     story.backends(json!({ "lose_answers": 0.7 })).await;
     story.phase(&mix, "server-failed", "unknown").await;
     story.backends(json!({ "lose_answers": 0.0 })).await;
@@ -249,19 +249,19 @@
 }
 
 async fn outages(story: &mut Story) {
-    let mix = Mix::new();
+    let mix = TrafficOptions::new();
     let log = story.fleet.log.set(json!({ "outage": true }));
     log.await.expect("a switch");
     story.phase(&mix, "log-out", "not-run").await;
     let log = story.fleet.log.set(json!({ "outage": false }));
     log.await.expect("a switch");
     story.fleet.net.cut("router-1");
-    let patient = Mix {
+    let patient = TrafficOptions {
         deadline_ms: Some(3_000),
         ..mix.clone()
     };
     story.phase(&patient, "unavailable", "not-run").await;
-    story.fleet.net.mend();
+    story.fleet.net.heal();
     story.take_down().await;
     story.phase(&mix, "no-server", "not-run").await;
 }
@@ -272,7 +272,7 @@
     slow.set(json!({ "pace_ms": 200 })).await.expect("a switch");
     let back = server(MODEL, "engine-0", slow.address(), "domain-0");
     story.apply(vec![back]).await;
-    let ask = Ask::new(MODEL, "held until all is told tokens=50").with_key(&new_key());
+    let ask = ChatRequest::new(MODEL, "held until all is told tokens=50").with_key(&new_key());
     let ask = ask.streamed();
     let begun = story.recorder.tick();
     let caller = story.fleet.caller(0);
@@ -280,9 +280,11 @@
     let held = until("a stream", async || caller.begin(router, &ask).await.ok());
     let held = held.await.expect("the slow engine serves");
     story.fleet.routers[2].process.terminate();
-    story.phase(&Mix::new(), "unavailable", "not-run").await;
+    story
+        .phase(&TrafficOptions::new(), "unavailable", "not-run")
+        .await;
     let answer = held.finish().await;
     assert!(answer.is_served(), "{answer:?}");
     let sent = sent(&story.fleet, 0, &ask);
-    story.recorder.note(sent, begun, End::from(&answer));
+    story.recorder.note(sent, begun, CallOutcome::from(&answer));
 }
--- a/tests/testsuite/rejoin.rs
+++ b/tests/testsuite/rejoin.rs
@@ -6,8 +6,8 @@
 use serde_json::{Value, json};
 use swiftlink_budget::{Fold, shard_of, stream_of};
 use swiftlink_log::Fold as _;
-use swiftlink_testkit::caller::Ask;
-use swiftlink_testkit::checker::End;
+use swiftlink_testkit::caller::ChatRequest;
+use swiftlink_testkit::checker::CallOutcome;
 use swiftlink_testkit::fleet::{Fleet, MODEL, change};
 use swiftlink_testkit::http::Http;
 use swiftlink_testkit::recorder::Recorder;
@@ -70,13 +70,13 @@
     let pool = json!({ "kind": "model", "max_tokens": 1_000_000 });
     let version = fleet.api.apply(vec![change("pool", MODEL, pool)]).await;
     fleet
-        .in_force(version.expect("an apply"))
+        .wait_for_version(version.expect("an apply"))
         .await
         .expect("routers read it");
     pace(&fleet, 100).await;
     let caller = fleet.caller(0);
     let recorder = Recorder::default();
-    let mut ask = Ask::new(MODEL, "tokens=200")
+    let mut ask = ChatRequest::new(MODEL, "tokens=200")
         .with_key(&new_key())
         .streamed();
     ask.max_tokens = 200;
@@ -96,7 +96,7 @@
     // It learns of it by a claim: the rights at hand are good until then.
     let mut more = 2_000;
     let learnt = until("the router to learn of its retirement", async || {
-        let mut ask = Ask::new(MODEL, "tokens=1").with_key(&new_key());
+        let mut ask = ChatRequest::new(MODEL, "tokens=1").with_key(&new_key());
         ask.max_tokens = more;
         more += 2_000;
         let _served_or_not = send(&fleet, &recorder, 0, 0, &ask).await;
@@ -111,16 +111,16 @@
         seen.push(lives(&fleet).await.expect("the log answers"));
         tokio::time::sleep(WATCH / 10).await;
     }
-    let mut other = Ask::new(MODEL, "tokens=2").with_key(&new_key());
+    let mut other = ChatRequest::new(MODEL, "tokens=2").with_key(&new_key());
     other.max_tokens = 2;
     let refused = caller.ask(fleet.router(0), &other).await;
-    assert!(!stream.so_far().whole, "it still runs");
+    assert!(!stream.received().is_complete, "it still runs");
 
     pace(&fleet, 0).await;
     let answer = stream.finish().await;
     assert!(answer.is_served(), "{answer:?}");
     let sent = sent(&fleet, 0, &ask);
-    recorder.note(sent, began, End::from(&answer));
+    recorder.note(sent, began, CallOutcome::from(&answer));
     let settled =
         fleet.routers[0].status_until(LIMIT, "charges", |status| status["charges"]["pending"] == 0);
     let status = settled.await;
@@ -158,13 +158,16 @@
 async fn a_router_on_a_vm_declared_gone_refuses_callers_until_it_is_taken_back() {
     let fleet = plan().start().await.expect("the fleet starts");
     let caller = fleet.caller(0);
-    let ask = || Ask::new(MODEL, "tokens=2").with_key(&new_key());
+    let ask = || ChatRequest::new(MODEL, "tokens=2").with_key(&new_key());
     let served = caller.ask(fleet.router(0), &ask()).await;
     assert!(served.is_served(), "{served:?}");
 
     let gone = change("retirement", VM, json!({ "reason": "burnt" }));
     let version = fleet.api.apply(vec![gone]).await.expect("an apply");
-    fleet.in_force(version).await.expect("routers read it");
+    fleet
+        .wait_for_version(version)
+        .await
+        .expect("routers read it");
     let refused = caller.ask(fleet.router(0), &ask()).await;
     assert_eq!(
         refused.slug().as_deref(),
--- a/tests/testsuite/repeat.rs
+++ b/tests/testsuite/repeat.rs
@@ -6,8 +6,8 @@
 use http::Method;
 use serde_json::{Value, json};
 use swiftlink_budget::{shard_of, stream_of};
-use swiftlink_testkit::caller::{Answer, Ask, set};
-use swiftlink_testkit::checker::{Accounts, End, History};
+use swiftlink_testkit::caller::{Answer, ChatRequest, set};
+use swiftlink_testkit::checker::{Accounts, CallOutcome, History};
 use swiftlink_testkit::fleet::{CALL_TOKENS, Fleet, MODEL, SERVICE, Tenant};
 use swiftlink_testkit::recorder::Recorder;
 
@@ -18,8 +18,8 @@
 /// A part of the deadline (120 s) that a silent peer may not take.
 const LONG_BEFORE: Duration = Duration::from_secs(30);
 
-fn ask(prompt: &str) -> Ask {
-    Ask::new(MODEL, prompt).with_key(&new_key())
+fn ask(prompt: &str) -> ChatRequest {
+    ChatRequest::new(MODEL, prompt).with_key(&new_key())
 }
 
 async fn fleet() -> Fleet {
@@ -203,7 +203,7 @@
             first.key.as_deref().expect("a key"),
         );
         set(&mut request, "x-priority", class);
-        caller.whole(request).await
+        caller.send(request).await
     };
     let body = first.body().to_string();
     let answer = post("{ not json", "standard").await;
@@ -250,6 +250,6 @@
     fleet.routers[1].process.thaw();
     let whole = stream.finish().await;
     assert!(whole.is_served(), "{whole:?}");
-    recorder.note(sent(&fleet, 0, &large), begun, End::from(&whole));
+    recorder.note(sent(&fleet, 0, &large), begun, CallOutcome::from(&whole));
     check_all(&fleet, recorder.calls()).await;
 }
--- a/tests/testsuite/replace.rs
+++ b/tests/testsuite/replace.rs
@@ -10,8 +10,8 @@
 use swiftlink_testkit::fleet::{Fleet, change};
 use swiftlink_testkit::recorder::Recorder;
 use swiftlink_testkit::records;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
-use swiftlink_testkit::traffic::{Mix, Traffic};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
+use swiftlink_testkit::traffic::{Traffic, TrafficOptions};
 use swiftlink_testkit::until::until;
 use swiftlink_types::Incarnation;
 
@@ -95,12 +95,12 @@
     Instant::now()
 }
 
-async fn replaced(mut draw: Draw) {
+async fn replaced(mut draw: SeededRng) {
     let mut fleet = plan().vms(4, 4).start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    let mix = Mix {
+    let mix = TrafficOptions {
         tries: 4,
-        ..Mix::new()
+        ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     busy(&traffic).await;
@@ -152,12 +152,12 @@
 
 /// A VM that never comes back: its rights stay in quarantine while only a successor
 /// counts as proof, and come back where the VM list counts too.
-async fn gone(mut draw: Draw) {
+async fn gone(mut draw: SeededRng) {
     let mut fleet = plan().start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    let mix = Mix {
+    let mix = TrafficOptions {
         tries: 4,
-        ..Mix::new()
+        ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     busy(&traffic).await;
--- a/tests/testsuite/spend.rs
+++ b/tests/testsuite/spend.rs
@@ -8,11 +8,11 @@
 use serde_json::{Value, json};
 use swiftlink_budget::Fold;
 use swiftlink_log::Fold as _;
-use swiftlink_testkit::caller::Ask;
-use swiftlink_testkit::checker::{Accounts, Call, End, History};
+use swiftlink_testkit::caller::ChatRequest;
+use swiftlink_testkit::checker::{Accounts, Call, CallOutcome, History};
 use swiftlink_testkit::fleet::{Fleet, MODEL, Plan, Tenant, change};
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
 use swiftlink_testkit::until::until;
 
 use crate::hammer::{ANSWER, Hammer, Style, Told, bound, counts, ran};
@@ -36,7 +36,7 @@
     paid.collect()
 }
 
-async fn step(draw: &mut Draw) {
+async fn step(draw: &mut SeededRng) {
     tokio::time::sleep(Duration::from_millis(draw.below(STEP_MS))).await;
 }
 
@@ -80,7 +80,7 @@
     rounds("nothing_is_overspent_in_a_partition", partition).await;
 }
 
-async fn partition(mut draw: Draw) {
+async fn partition(mut draw: SeededRng) {
     let names = ["lannec", "vannes", "deusto"];
     let tenants = names.map(|name| Tenant::new(name, 6_000)).to_vec();
     let mut paid = prepaid_of(&tenants);
@@ -90,7 +90,10 @@
         let spec = json!({ "budget": name, "stale": "serve" });
         let changes = vec![change("workspace", name, spec)];
         let version = fleet.api.apply(changes).await.expect("a change");
-        fleet.in_force(version).await.expect("it is in force");
+        fleet
+            .wait_for_version(version)
+            .await
+            .expect("it is in force");
     }
     let recorder = Arc::new(Recorder::default());
     let style = Style {
@@ -122,7 +125,7 @@
         .await;
     let told = hammer.told();
     let far = served(&told[before..], |told| told.router % 4 >= 2);
-    fleet.net.mend();
+    fleet.net.heal();
     hammer
         .until("answers after it", |told| told.len() >= 100)
         .await;
@@ -140,7 +143,7 @@
     rounds("lost_answers_of_appends_spend_nothing_twice", lost).await;
 }
 
-async fn lost(mut draw: Draw) {
+async fn lost(mut draw: SeededRng) {
     let names = ["lannec", "deusto"];
     let tenants = names.map(|name| Tenant::new(name, 4_000)).to_vec();
     let mut paid = prepaid_of(&tenants);
@@ -184,7 +187,7 @@
     rounds("eight_routers_use_up_a_small_budget_exactly", race).await;
 }
 
-async fn race(mut draw: Draw) {
+async fn race(mut draw: SeededRng) {
     let prepaid = 2_500 + draw.below(1_000);
     let tenants = vec![Tenant::new("lannec", prepaid)];
     let paid = prepaid_of(&tenants);
@@ -237,8 +240,8 @@
 }
 
 fn charge_of(call: &Call) -> u64 {
-    match call.end {
-        End::Whole { charged, .. } => charged,
+    match call.outcome {
+        CallOutcome::Complete { charged, .. } => charged,
         _ => 0,
     }
 }
@@ -255,7 +258,7 @@
     };
     let mut taken = 0;
     for call in calls {
-        if call.began > refused.ended || matches!(call.end, End::NotRun) {
+        if call.began > refused.ended || matches!(call.outcome, CallOutcome::NotRun) {
             continue;
         }
         let in_flight = call.ended > refused.began;
@@ -271,7 +274,7 @@
 /// Spends what is left, one caller at a time, until no request fits.
 async fn use_up(fleet: &Fleet, recorder: &Recorder, prepaid: u64) {
     loop {
-        let mut ask = Ask::new(MODEL, "rest tokens=24").with_key(&new_key());
+        let mut ask = ChatRequest::new(MODEL, "rest tokens=24").with_key(&new_key());
         ask.max_tokens = ANSWER;
         let left = prepaid.checked_sub(told_charges(&recorder.calls()));
         let left = left.expect("never more is charged than was prepaid");
@@ -294,7 +297,7 @@
     rounds("rights_of_killed_routers_come_back", killed).await;
 }
 
-async fn killed(mut draw: Draw) {
+async fn killed(mut draw: SeededRng) {
     let prepaid = 30_000;
     let fleet = plan()
         .vms(4, 4)
--- a/tests/testsuite/standing.rs
+++ b/tests/testsuite/standing.rs
@@ -5,7 +5,7 @@
 
 use http::StatusCode;
 use serde_json::{Value, json};
-use swiftlink_testkit::caller::{Ask, Caller};
+use swiftlink_testkit::caller::{Caller, ChatRequest};
 use swiftlink_testkit::fleet::{Fleet, MODEL};
 use swiftlink_testkit::http::Http;
 use swiftlink_testkit::until::until;
@@ -21,8 +21,8 @@
 /// No look waits longer.
 const LIMIT: Duration = Duration::from_secs(60);
 
-fn ask() -> Ask {
-    Ask::new(MODEL, "who owned parcel 7? tokens=4").with_key(&new_key())
+fn ask() -> ChatRequest {
+    ChatRequest::new(MODEL, "who owned parcel 7? tokens=4").with_key(&new_key())
 }
 
 /// What the balancer is told.
@@ -96,7 +96,7 @@
     );
     line(&fleet, &["level=warn event=router.trouble reason=stale"]).await;
 
-    fleet.net.mend();
+    fleet.net.heal();
     let back = fleet.log.set(json!({ "outage": false }));
     back.await.expect("a switch");
     let well = fleet.routers[0].status_until(LIMIT, "trouble", |status| {
--- a/tests/testsuite/stopping.rs
+++ b/tests/testsuite/stopping.rs
@@ -9,8 +9,8 @@
 use swiftlink_testkit::checker::History;
 use swiftlink_testkit::fleet::Daemon;
 use swiftlink_testkit::recorder::Recorder;
-use swiftlink_testkit::rounds::{Draw, rounds, say};
-use swiftlink_testkit::traffic::{Mix, Told, Traffic};
+use swiftlink_testkit::rounds::{SeededRng, rounds, say};
+use swiftlink_testkit::traffic::{AttemptRecord, Traffic, TrafficOptions};
 use swiftlink_testkit::until::until;
 
 use crate::support::{check_all, plan};
@@ -35,11 +35,14 @@
 }
 
 /// No caller lost an answer that had begun, and what was not answered at all did not run.
-fn check_whole(told: &[Told], history: &History) {
+fn check_whole(told: &[AttemptRecord], history: &History) {
     let ran: BTreeSet<&str> = history.runs.iter().map(|run| run.key.as_str()).collect();
-    for Told { key, answer, .. } in told {
+    for AttemptRecord { key, answer, .. } in told {
         let has_head = answer.status != 0;
-        assert!(!has_head || answer.whole, "an answer was cut: {answer:?}");
+        assert!(
+            !has_head || answer.is_complete,
+            "an answer was cut: {answer:?}"
+        );
         assert!(
             has_head || !ran.contains(key.as_str()),
             "{key} ran and was not answered"
@@ -56,7 +59,7 @@
     busy.await.expect("the callers reach the router");
 }
 
-async fn routers_stop(mut draw: Draw) {
+async fn routers_stop(mut draw: SeededRng) {
     let plan = plan().router(json!({ "stop_ms": STOP_MS }));
     let mut fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
@@ -66,18 +69,18 @@
     for service in &fleet.services {
         service.set(json!({ "run_ms": 80 })).await.expect("a time");
     }
-    let mix = Mix {
+    let mix = TrafficOptions {
         callers: 16,
         tokens: 40,
-        ..Mix::new()
+        ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     for at in 0..fleet.routers.len() {
         busy(&fleet.routers[at]).await;
         stop(&mut fleet.routers[at]).await;
-        let ended = traffic.told().len();
+        let ended = traffic.attempts().len();
         let late = until("tries after the stop", async || {
-            (traffic.told().len() > ended + 8).then_some(())
+            (traffic.attempts().len() > ended + 8).then_some(())
         });
         late.await.expect("the callers go on");
     }
@@ -95,11 +98,11 @@
 
 /// Ledgers and the operator stop too, one after the other, under load; then all
 /// routers die, so that the ledgers alone hold the charges of what was just answered.
-async fn ledgers_stop(mut draw: Draw) {
+async fn ledgers_stop(mut draw: SeededRng) {
     let plan = plan().ledger(json!({ "stop_ms": STOP_MS }));
     let mut fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    let mix = Mix::new();
+    let mix = TrafficOptions::new();
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     for at in 0..fleet.ledgers.len() {
         let before = traffic.served();
@@ -112,7 +115,7 @@
         fleet.ledgers[at].ready().await.expect("it is ready again");
     }
     stop(&mut fleet.operator).await;
-    let told = traffic.told();
+    let told = traffic.attempts();
     check_whole(
         &told,
         &fleet.history(recorder.calls()).await.expect("a history"),
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -3,10 +3,10 @@
 use std::path::PathBuf;
 
 use swiftlink_standins::engine;
-use swiftlink_testkit::caller::{Answer, Ask};
-use swiftlink_testkit::checker::{Call, End, History, check};
+use swiftlink_testkit::caller::{Answer, ChatRequest};
+use swiftlink_testkit::checker::{Call, CallOutcome, History, check};
 use swiftlink_testkit::fleet::{Fleet, Plan, dir_of, settle};
-use swiftlink_testkit::recorder::{Recorder, Sent};
+use swiftlink_testkit::recorder::{Recorder, RequestInfo};
 use swiftlink_types::{RequestKey, wall_ms};
 
 /// Directory of the binaries under test.
@@ -25,12 +25,12 @@
 }
 
 /// The text that a whole answer to `ask` must have.
-pub fn expected(ask: &Ask) -> String {
+pub fn expected(ask: &ChatRequest) -> String {
     engine::answer(&ask.prompt, ask.max_tokens)
 }
 
 /// The tokens that a whole answer to `ask` runs.
-pub fn tokens(ask: &Ask) -> u64 {
+pub fn tokens(ask: &ChatRequest) -> u64 {
     engine::prompt_tokens(&ask.prompt) + engine::answer_length(&ask.prompt, ask.max_tokens)
 }
 
@@ -40,7 +40,7 @@
     recorder: &Recorder,
     tenant: usize,
     router: usize,
-    ask: &Ask,
+    ask: &ChatRequest,
 ) -> Answer {
     let caller = fleet.caller(tenant);
     let sent = sent(fleet, tenant, ask);
@@ -50,9 +50,9 @@
 }
 
 /// What is known of `ask` before it is sent.
-pub fn sent(fleet: &Fleet, tenant: usize, ask: &Ask) -> Sent {
+pub fn sent(fleet: &Fleet, tenant: usize, ask: &ChatRequest) -> RequestInfo {
     let name = &fleet.tenant(tenant).name;
-    Sent {
+    RequestInfo {
         key: ask.key.clone().expect("recorded calls have keys"),
         workspace: name.clone(),
         budget: name.clone(),
@@ -62,7 +62,7 @@
     }
 }
 
-fn price_of(ask: &Ask) -> u32 {
+fn price_of(ask: &ChatRequest) -> u32 {
     match ask.class.as_deref() {
         Some("urgent") => swiftlink_testkit::fleet::URGENT_PRICE,
         _ => swiftlink_types::PRICE_UNIT,
@@ -75,7 +75,8 @@
     let settled = |history: &History| {
         let accounts = swiftlink_testkit::checker::Accounts::fold(&history.streams);
         history.calls.iter().all(|call| {
-            let charged = matches!(call.end, End::Whole { charged, .. } if charged > 0);
+            let charged =
+                matches!(call.outcome, CallOutcome::Complete { charged, .. } if charged > 0);
             let place = (call.workspace.clone(), call.key.clone());
             !charged || accounts.charges.contains_key(&place)
         })
