--- a/crates/shell/tests/signal.rs
+++ b/crates/shell/tests/signal.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn sigterm_and_sigint_ask_for_a_stop() {
+fn sigterm_and_sigint_request_a_stop() {
     let about = About {
         name: "swiftlink-test",
         version: "1.2.3",
