--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -53,10 +53,10 @@
         return refusal;
     };
     if is_resumption(node, headers, &sender) {
-        return repeat::of_run(refusal);
+        return repeat::with_unknown_outcome(refusal);
     }
     match surface::key(headers) {
-        Ok(Some(key)) => repeat::judge(&node.past, &sender.name, key, refusal),
+        Ok(Some(key)) => repeat::adjust_outcome(&node.history, &sender.name, key, refusal),
         _ => refusal,
     }
 }
--- a/crates/router/src/charge.rs
+++ b/crates/router/src/charge.rs
@@ -18,10 +18,10 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
+use crate::history::RunHistory;
 use crate::keys::KeyHold;
 use crate::ledgers::{Ledgers, order};
 use crate::members::{Seat, Stay};
-use crate::past::PastRuns;
 
 /// Pause after all ledgers failed to take a charge.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct Settler {
     ledgers: Arc<Ledgers>,
-    past: Arc<PastRuns>,
+    past: Arc<RunHistory>,
     runtime: Handle,
     metrics: Metrics,
     counts: ChargeCounts,
@@ -81,7 +81,7 @@
     #[must_use]
     pub fn new(
         ledgers: Arc<Ledgers>,
-        past: Arc<PastRuns>,
+        past: Arc<RunHistory>,
         runtime: Handle,
         metrics: Metrics,
         settings: &crate::settings::Settings,
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -22,7 +22,7 @@
 use crate::fleet::Pools;
 use crate::freshness::{Freshness, Pong, Trust};
 use crate::ledgers::{Ledgers, describe};
-use crate::pings::NEVER_MS;
+use crate::pings::NO_CONTACT_MS;
 
 /// A ledger that sends no page for so long is left for another.
 const SILENCE: Duration = Duration::from_millis(2_500);
@@ -255,7 +255,7 @@
             return Ok(());
         };
         self.view.publish(state.config());
-        let is_told = page.age_ms < NEVER_MS;
+        let is_told = page.age_ms < NO_CONTACT_MS;
         if is_told && self.replica.is_ready() && self.replica.next() >= page.next {
             self.view.confirm(Duration::from_millis(page.age_ms));
         }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -18,9 +18,9 @@
 use crate::call::Call;
 use crate::engine;
 use crate::fleet::Target;
+use crate::history::TrackedRun;
 use crate::intent::Intent;
 use crate::node::Node;
-use crate::past::PastRun;
 use crate::queue::Slot;
 use swiftlink_gateway::upstream::{PendingResponse, SendError, send};
 
@@ -37,7 +37,7 @@
     /// The won intent of a non-idempotent request.
     pub intent: Option<Intent>,
     /// What the router remembers of the run.
-    pub past: Option<PastRun>,
+    pub past: Option<TrackedRun>,
     /// Servers that were tried.
     pub tried: Vec<ServerIdx>,
     /// A server may have run the request.
--- a/crates/router/src/past.rs
+++ b/crates/router/src/history.rs
@@ -73,13 +73,13 @@
 
 /// The keys that this router has dispatched.
 #[derive(Debug)]
-pub struct PastRuns {
+pub struct RunHistory {
     shards: [Mutex<Shard>; SHARDS],
     /// Most entries of one shard.
     limit: usize,
 }
 
-impl PastRuns {
+impl RunHistory {
     /// A memory of about `limit` keys.
     #[must_use]
     pub fn new(limit: usize) -> Arc<Self> {
@@ -116,8 +116,8 @@
 
     /// A request of `digest` is about to be dispatched.
     #[must_use]
-    pub fn begin(self: &Arc<Self>, key_use: &KeyUse, digest: u64) -> PastRun {
-        PastRun {
+    pub fn begin(self: &Arc<Self>, key_use: &KeyUse, digest: u64) -> TrackedRun {
+        TrackedRun {
             past: Arc::clone(self),
             id: id_of(key_use),
             digest,
@@ -199,15 +199,15 @@
 
 /// The memory of one request's run.
 #[derive(Debug)]
-pub struct PastRun {
-    past: Arc<PastRuns>,
+pub struct TrackedRun {
+    past: Arc<RunHistory>,
     id: Id,
     digest: u64,
     /// This request made the entry.
     is_new: bool,
 }
 
-impl PastRun {
+impl TrackedRun {
     /// From now on a backend server may run the request.
     pub fn dispatch(&mut self) {
         let mut shard = self.past.lock(&self.id);
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -15,11 +15,11 @@
 use crate::claim::Claimers;
 use crate::config::ConfigView;
 use crate::fleet::Pools;
+use crate::history::RunHistory;
 use crate::intent::Intents;
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
 use crate::members::Members;
-use crate::past::PastRuns;
 use crate::peers::Peers;
 use crate::reader::ReadOptions;
 use crate::settings::Settings;
@@ -46,7 +46,7 @@
     /// Request keys in use.
     pub keys: Arc<Keys>,
     /// Request keys dispatched before.
-    pub past: Arc<PastRuns>,
+    pub history: Arc<RunHistory>,
     /// Peer routers that requests were relayed to.
     pub peers: Arc<Peers>,
     /// Hands charges to ledgers.
--- a/crates/router/src/pings.rs
+++ b/crates/router/src/pings.rs
@@ -23,7 +23,7 @@
 /// hears from the log at least every second.
 const OUT_MICROS: Micros = 2_500_000;
 /// A ledger that had no contact with the log since its start tells the largest `u32`.
-pub const NEVER_MS: u64 = u32::MAX as u64;
+pub const NO_CONTACT_MS: u64 = u32::MAX as u64;
 
 /// The rule by which a configuration is judged, where it is stale by itself over `stale`.
 #[must_use]
@@ -77,7 +77,7 @@
     let pong = Pong {
         asked,
         got: view.now(),
-        log_age: (age < NEVER_MS).then(|| age * MICROS_PER_MS),
+        log_age: (age < NO_CONTACT_MS).then(|| age * MICROS_PER_MS),
     };
     view.hear(index, pong);
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -14,8 +14,8 @@
 
 use crate::call::Call;
 use crate::forward::{end_to_end, pass_body};
+use crate::history::{TrackedRun, digest};
 use crate::node::Node;
-use crate::past::{PastRun, digest};
 use crate::peers::Watched;
 use crate::reply::{Reply, ReplySender, pieces};
 use crate::serve::send;
@@ -73,14 +73,14 @@
             // Where it may have run is remembered as if it had been dispatched here.
             let mut past = self.past();
             for address in self.candidates(holders) {
-                past.iter_mut().for_each(PastRun::dispatch);
+                past.iter_mut().for_each(TrackedRun::dispatch);
                 match self.try_peer(address).await {
                     Tried::Answered(answer, watched) => {
                         self.node.metrics.count("request.relayed", 1);
                         pass(answer, watched, reply).await;
                         return Relayed::Answered;
                     }
-                    Tried::NotRun => past.iter_mut().for_each(PastRun::recall),
+                    Tried::NotRun => past.iter_mut().for_each(TrackedRun::recall),
                     Tried::Lost(why) => {
                         past = None;
                         let detail = format!("the peer router's answer was lost: {why}");
@@ -101,9 +101,13 @@
     }
 
     /// What is to be remembered of the request; nothing of a resumption.
-    fn past(self) -> Option<PastRun> {
+    fn past(self) -> Option<TrackedRun> {
         let call = self.call;
-        (!call.is_resumption()).then(|| self.node.past.begin(&call.key_use, digest(&call.original)))
+        (!call.is_resumption()).then(|| {
+            self.node
+                .history
+                .begin(&call.key_use, digest(&call.original))
+        })
     }
 
     fn candidates(self, holders: Vec<SocketAddr>) -> Vec<SocketAddr> {
--- a/crates/router/src/repeat.rs
+++ b/crates/router/src/repeat.rs
@@ -9,10 +9,10 @@
 use tokio::time::timeout_at;
 
 use crate::call::{Call, ModelWork, Work};
+use crate::history::{RunHistory, WholeRun};
 use crate::model::token;
 use crate::node::Node;
 use crate::pass::{End, Progress, pass};
-use crate::past::{PastRuns, WholeRun};
 use crate::reader::Reader;
 use crate::reply::{Reply, ReplySender};
 use crate::serve::send;
@@ -84,21 +84,21 @@
 /// The refusal as it is when this router has dispatched the key before: whatever it is
 /// refused for now, it can't be said that the key has not run.
 #[must_use]
-pub fn judge(
-    past: &PastRuns,
+pub fn adjust_outcome(
+    past: &RunHistory,
     workspace: &WorkspaceName,
     key: RequestKey,
     refusal: Refusal,
 ) -> Refusal {
     if past.knows(workspace, key) {
-        return of_run(refusal);
+        return with_unknown_outcome(refusal);
     }
     refusal
 }
 
 /// The refusal of a request whose key has a run, such as a resumption.
 #[must_use]
-pub fn of_run(mut refusal: Refusal) -> Refusal {
+pub fn with_unknown_outcome(mut refusal: Refusal) -> Refusal {
     if refusal.outcome == Outcome::NotRun {
         refusal.outcome = Outcome::Unknown;
     }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -21,12 +21,12 @@
 use crate::dump::NodeDump;
 use crate::fleet::Pools;
 use crate::freshness::Freshness;
+use crate::history::RunHistory;
 use crate::intent::Intents;
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
 use crate::members::{Keeper, Members};
 use crate::node::Node;
-use crate::past::PastRuns;
 use crate::peers::Peers;
 use crate::serve::Surface;
 use crate::settings::Settings;
@@ -147,7 +147,7 @@
         ms(settings.intent_wait_ms),
         upkeep.clone(),
     );
-    let past = PastRuns::new(settings.key_memory);
+    let past = RunHistory::new(settings.key_memory);
     let peers = Peers::new(
         runtime.clone(),
         tasks.clone(),
@@ -169,7 +169,7 @@
         members: Members::new(settings.shards),
         claimers,
         keys: Keys::new(settings.key_window_ms, 0),
-        past,
+        history: past,
         peers,
         settler,
         intents,
@@ -265,7 +265,7 @@
         let window = node.settings.key_window_ms.saturating_mul(2);
         let floor = wall_ms().saturating_sub(window);
         node.intents.forget(floor);
-        node.past.forget(floor);
+        node.history.forget(floor);
     }
 }
 
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -23,10 +23,10 @@
 use crate::call::{Call, Work};
 use crate::charge::{Carrier, Cost};
 use crate::dispatch::Attempt;
+use crate::history::{Past, WholeRun, digest};
 use crate::intent::{Spent, lost};
 use crate::members::Stay;
 use crate::node::Node;
-use crate::past::{Past, WholeRun, digest};
 use crate::record::{self, Record};
 use crate::relay::Relayed;
 use crate::reply::{Reply, ReplySender};
@@ -76,9 +76,9 @@
         let reply = match reply {
             Reply::Refused(refusal) => {
                 let refusal = if is_resumption {
-                    repeat::of_run(refusal)
+                    repeat::with_unknown_outcome(refusal)
                 } else {
-                    repeat::judge(&self.node.past, &workspace, key, refusal)
+                    repeat::adjust_outcome(&self.node.history, &workspace, key, refusal)
                 };
                 if once && refusal.outcome == Outcome::NotRun && refusal.kind != RefusalKind::LogOut
                 {
@@ -148,7 +148,7 @@
     let is_run = !call.is_resumption();
     let digest = if is_run { digest(&call.original) } else { 0 };
     if is_run {
-        match node.past.look(&call.key_use, digest) {
+        match node.history.look(&call.key_use, digest) {
             Past::Open => {}
             Past::Whole(whole) => {
                 record.pass();
@@ -186,7 +186,7 @@
         .unzip();
     let mut attempt = Attempt {
         rights,
-        past: is_run.then(|| node.past.begin(&call.key_use, digest)),
+        past: is_run.then(|| node.history.begin(&call.key_use, digest)),
         ..Attempt::default()
     };
     if call.once {
--- a/crates/router/tests/members.rs
+++ b/crates/router/tests/members.rs
@@ -7,10 +7,10 @@
 use swiftlink_admission::Grant;
 use swiftlink_router::Settings;
 use swiftlink_router::charge::{Cost, Settler};
+use swiftlink_router::history::RunHistory;
 use swiftlink_router::keys::Keys;
 use swiftlink_router::ledgers::Ledgers;
 use swiftlink_router::members::Seat;
-use swiftlink_router::past::PastRuns;
 use swiftlink_telemetry::Metrics;
 use swiftlink_types::{BudgetName, Incarnation, RequestKey, VmName, WorkspaceName};
 use tokio::runtime::Handle;
@@ -100,7 +100,7 @@
     });
     let settings: Settings = serde_json::from_value(settings).expect("good settings");
     let ledgers = Arc::new(Ledgers::spawn(&settings));
-    let past = PastRuns::new(8);
+    let past = RunHistory::new(8);
     Settler::new(ledgers, past, Handle::current(), Metrics::nop(), &settings)
 }
 
--- a/crates/router/tests/past.rs
+++ b/crates/router/tests/past.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
+use swiftlink_router::history::{Past, RunHistory, WholeRun};
 use swiftlink_router::keys::{KeyUse, Keys};
-use swiftlink_router::past::{Past, PastRuns, WholeRun};
 use swiftlink_types::{RequestKey, ServerName, WorkspaceName};
 
 const NOW: u64 = 1_700_000_000_000;
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_whole_run_is_remembered_with_its_charge() {
-    let (keys, past) = (Keys::new(WINDOW, 0), PastRuns::new(100));
+    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let key = new_key(&keys);
     assert_eq!(past.look(&key, 7), Past::Open);
     let mut run = past.begin(&key, 7);
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_recalled_dispatch_leaves_no_trace_but_an_earlier_one_does() {
-    let (keys, past) = (Keys::new(WINDOW, 0), PastRuns::new(100));
+    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let key = new_key(&keys);
     let mut run = past.begin(&key, 7);
     run.dispatch();
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_key_that_was_charged_elsewhere_is_not_run() {
-    let (keys, past) = (Keys::new(WINDOW, 0), PastRuns::new(100));
+    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let (cut, foreign) = (new_key(&keys), new_key(&keys));
     past.begin(&cut, 7).dispatch();
     past.note_void(cut.workspace(), cut.key());
@@ -77,7 +77,7 @@
 
 #[test]
 fn keys_older_than_the_floor_are_forgotten() {
-    let (keys, past) = (Keys::new(WINDOW, 0), PastRuns::new(100));
+    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let old = key_of(&keys, RequestKey::generate(NOW - 100));
     let new = new_key(&keys);
     past.begin(&old, 1).dispatch();
@@ -92,7 +92,7 @@
     /// dispatched is known.
     #[test]
     fn memory_is_bounded(limit in 1_usize..64, count in 1_usize..400, recalled in any::<u64>()) {
-        let (keys, past) = (Keys::new(WINDOW, 0), PastRuns::new(limit));
+        let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(limit));
         for number in 0..count {
             let key = new_key(&keys);
             let mut run = past.begin(&key, 1);
