--- a/crates/router/src/history.rs
+++ b/crates/router/src/history.rs
@@ -1,9 +1,9 @@
-//! What this router knows of the keys that it has dispatched.
+//! History of the request keys that this router has dispatched.
 //!
-//! A key whose answer was whole and charged is not run again: its answer is given again
-//! from the engine's kept stream. The memory is bounded, and the oldest keys go first;
-//! a key that was forgotten, or that another router ran, runs here once more at most,
-//! since the log then voids its charge and the key is remembered as charged.
+//! A key whose answer was complete and charged is not run again: its answer is repeated
+//! from the stream that the engine retains. The history is bounded and evicts the oldest keys
+//! first. A key that was evicted, or that another router ran, runs here at most once more:
+//! the log then voids its charge, and the key is recorded as charged.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,73 +14,73 @@
 use crate::call::Original;
 use crate::keys::KeyUse;
 
-/// Parts of the memory, each with a lock of its own.
+/// Number of shards, each with its own lock.
 const SHARDS: usize = 16;
 
 type Id = (WorkspaceName, RequestKey);
 
-/// A run that ended whole.
+/// A run whose answer was complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeRun {
+pub struct CompletedRun {
     /// The backend server that ran it.
     pub server: Option<ServerName>,
-    /// The engine's id of the answer's stream, if it has one.
+    /// The engine's id of the stream, if it has one.
     pub stream: Option<String>,
-    /// Budget tokens that it was charged.
+    /// Budget tokens charged for it.
     pub charged: Tokens,
 }
 
-/// What is known of a key when a request with it comes.
+/// What the history says about the key of a new request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Past {
-    /// Nothing that speaks against a run.
-    Open,
-    /// It was sent before with another request.
+pub enum KeyStatus {
+    /// The request may run.
+    Runnable,
+    /// The key was used before for a different request.
     Reused,
-    /// It ran whole.
-    Whole(WholeRun),
-    /// The log has charged a run of it; what this router ran of it was void.
+    /// A run of the key is complete.
+    Complete(CompletedRun),
+    /// The log has charged another run of the key and voided the charge of this router.
     Charged,
 }
 
-/// How far the newest run of a key came.
+/// State of the newest run of a key.
 #[derive(Debug, Clone)]
 enum State {
-    /// Dispatched; running, or its end isn't known.
+    /// Dispatched: still running, or its result is unknown.
     Dispatched,
-    /// The answer was whole and its charge handed over.
-    Whole(WholeRun),
-    /// Not whole here, and charged by another run.
+    /// The answer was complete and its charge submitted.
+    Complete(CompletedRun),
+    /// Incomplete here; another run was charged.
     Charged,
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
-    /// `None`: the request itself was never seen here.
+    /// Digest of the request; `None` if the request never reached this router.
     digest: Option<u64>,
     state: State,
-    /// Tells it from an earlier entry of the same key.
+    /// Distinguishes it from an earlier entry of the same key.
     number: u64,
 }
 
 #[derive(Debug, Default)]
 struct Shard {
     entries: HashMap<Id, Entry>,
-    /// The entries by age; some may be gone.
+    /// Entries, oldest first; may name entries that are already removed.
     order: VecDeque<(Id, u64)>,
     next: u64,
 }
 
-/// The keys that this router has dispatched.
+/// Bounded history of the keys that this router has dispatched.
 #[derive(Debug)]
 pub struct RunHistory {
     shards: [Mutex<Shard>; SHARDS],
-    /// Most entries of one shard.
+    /// Largest number of entries in one shard.
     limit: usize,
 }
 
 impl RunHistory {
-    /// A memory of about `limit` keys.
+    /// Creates a history of about `limit` keys.
     #[must_use]
     pub fn new(limit: usize) -> Arc<Self> {
         Arc::new(Self {
@@ -89,48 +89,48 @@
         })
     }
 
-    /// What is known of a key that now comes with a request of `digest`.
+    /// Looks up the key of a new request that has `digest`.
     #[must_use]
-    pub fn look(&self, key_use: &KeyUse, digest: u64) -> Past {
+    pub fn status(&self, key_use: &KeyUse, digest: u64) -> KeyStatus {
         let id = id_of(key_use);
         let shard = self.lock(&id);
         let Some(entry) = shard.entries.get(&id) else {
-            return Past::Open;
+            return KeyStatus::Runnable;
         };
         if entry.digest.is_some_and(|known| known != digest) {
-            return Past::Reused;
+            return KeyStatus::Reused;
         }
         match &entry.state {
-            State::Dispatched => Past::Open,
-            State::Whole(run) => Past::Whole(run.clone()),
-            State::Charged => Past::Charged,
+            State::Dispatched => KeyStatus::Runnable,
+            State::Complete(run) => KeyStatus::Complete(run.clone()),
+            State::Charged => KeyStatus::Charged,
         }
     }
 
-    /// Whether a run of the key may exist, by what this router has done.
+    /// Whether this router may have started a run of the key.
     #[must_use]
     pub fn knows(&self, workspace: &WorkspaceName, key: RequestKey) -> bool {
         let id = (workspace.clone(), key);
         self.lock(&id).entries.contains_key(&id)
     }
 
-    /// A request of `digest` is about to be dispatched.
+    /// Tracks a request with `digest` that is about to be dispatched.
     #[must_use]
     pub fn begin(self: &Arc<Self>, key_use: &KeyUse, digest: u64) -> TrackedRun {
         TrackedRun {
-            past: Arc::clone(self),
+            history: Arc::clone(self),
             id: id_of(key_use),
             digest,
             is_new: false,
         }
     }
 
-    /// The log has voided a charge of the key, since another run was charged.
+    /// Notes that the log has voided a charge of the key because another run was charged.
     pub fn note_void(&self, workspace: &WorkspaceName, key: RequestKey) {
         let id = (workspace.clone(), key);
         let mut shard = self.lock(&id);
         match shard.entries.get_mut(&id) {
-            Some(entry) if matches!(entry.state, State::Whole(_)) => {}
+            Some(entry) if matches!(entry.state, State::Complete(_)) => {}
             Some(entry) => entry.state = State::Charged,
             None => {
                 shard.insert(id, None, State::Charged, self.limit);
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Forgets the keys created before `floor`, which no router accepts any more.
+    /// Removes the keys created before `floor`, which every router refuses by then.
     pub fn forget(&self, floor: WallMs) {
         for shard in &self.shards {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Number of keys remembered.
+    /// Number of keys in the history.
     #[must_use]
     pub fn len(&self) -> usize {
         let lock = |shard: &Mutex<Shard>| {
@@ -157,7 +157,7 @@
         self.shards.iter().map(lock).sum()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the history is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -197,44 +197,44 @@
     }
 }
 
-/// The memory of one request's run.
+/// Handle for recording one request's run in the history.
 #[derive(Debug)]
 pub struct TrackedRun {
-    past: Arc<RunHistory>,
+    history: Arc<RunHistory>,
     id: Id,
     digest: u64,
-    /// This request made the entry.
+    /// Whether this request created the entry.
     is_new: bool,
 }
 
 impl TrackedRun {
-    /// From now on a backend server may run the request.
+    /// Records that a backend server may run the request from now on.
     pub fn dispatch(&mut self) {
-        let mut shard = self.past.lock(&self.id);
+        let mut shard = self.history.lock(&self.id);
         if let Some(entry) = shard.entries.get_mut(&self.id) {
             entry.digest = Some(self.digest);
             return;
         }
         let id = self.id.clone();
-        shard.insert(id, Some(self.digest), State::Dispatched, self.past.limit);
+        shard.insert(id, Some(self.digest), State::Dispatched, self.history.limit);
         self.is_new = true;
     }
 
-    /// No dispatch of this request has reached a backend server.
+    /// Undoes [`Self::dispatch`]: the request reached no backend server.
     pub fn recall(&mut self) {
         if !std::mem::take(&mut self.is_new) {
             return;
         }
-        self.past.lock(&self.id).entries.remove(&self.id);
+        self.history.lock(&self.id).entries.remove(&self.id);
     }
 
-    /// The answer was whole.
-    pub fn whole(&self, run: WholeRun) {
-        let mut shard = self.past.lock(&self.id);
+    /// Records that the answer was complete.
+    pub fn complete(&self, run: CompletedRun) {
+        let mut shard = self.history.lock(&self.id);
         if let Some(entry) = shard.entries.get_mut(&self.id)
-            && !matches!(entry.state, State::Whole(_))
+            && !matches!(entry.state, State::Complete(_))
         {
-            entry.state = State::Whole(run);
+            entry.state = State::Complete(run);
         }
     }
 }
@@ -243,7 +243,7 @@
     (key_use.workspace().clone(), key_use.key())
 }
 
-/// What tells a request from another one under the same key.
+/// Digest of method, target and body; tells different requests under one key apart.
 #[must_use]
 pub fn digest(original: &Original) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -1,4 +1,5 @@
-//! Runs a model request: dispatch, chunks, charge, end.
+//! Runs a model request: dispatches it, forwards the chunks and charges the tokens before the
+//! end of the answer is released.
 
 use std::time::Duration;
 
@@ -14,19 +15,19 @@
 use crate::engine;
 use crate::fleet::Target;
 use crate::node::Node;
-use crate::pass::{End, Finished, Progress, pass, read_usage};
+use crate::pass::{Finished, Progress, StreamEnd, forward_chunks, read_usage};
 use crate::reader::{ReadError, Reader};
 use crate::reply::{Reply, ReplySender};
 use crate::serve::{Run, send};
-use crate::settle_late::{Leftover, settle_late};
+use crate::settle_late::{InterruptedAnswer, settle_late};
 use crate::sink::{Sink, receipt};
 use crate::surface::Route;
 use swiftlink_gateway::upstream;
 
-/// Time that an engine gets to end a stream after it was told to.
-const CANCEL_TIME: Duration = Duration::from_secs(2);
+/// Longest wait for an engine to end a cancelled stream.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a model request to its end.
+/// Runs a model request until its answer is complete, interrupted or abandoned by its caller.
 pub async fn run(mut run: Run, reply: ReplySender) {
     let Work::Model(work) = run.call.work.clone() else {
         return;
@@ -40,13 +41,13 @@
     } else {
         Sink::collect(reply, run.call.pool.name.as_str(), work.chat)
     };
-    let mut leftover = None;
+    let mut interrupted = None;
     loop {
         let opened = match dispatch(&mut run, &work).await {
             Ok(opened) => opened,
             Err(refusal) => {
-                if let Some(leftover) = leftover {
-                    settle_late(run, leftover);
+                if let Some(interrupted) = interrupted {
+                    settle_late(run, interrupted);
                 }
                 return sink.fail(refusal).await;
             }
@@ -55,13 +56,19 @@
         let options = run.node.read_options();
         let mut reader = Reader::new(target.address, answer, 0, options);
         let stream = reader.stream().unwrap_or_default();
-        sink.begin(token(&run.node, &run.call, work.chat, &target.name, stream));
+        sink.begin(resume_token(
+            &run.node,
+            &run.call,
+            work.chat,
+            &target.name,
+            stream,
+        ));
         let mut progress = Progress::default();
         let orphan = Duration::from_millis(run.node.settings.orphan_ms);
         let on_first = || target.first_token();
-        let end = pass(&mut reader, &mut sink, &mut progress, orphan, on_first).await;
+        let end = forward_chunks(&mut reader, &mut sink, &mut progress, orphan, on_first).await;
         match end {
-            End::Whole(finished) => {
+            StreamEnd::Complete(finished) => {
                 let server = target.name.clone();
                 target.done();
                 slot.served();
@@ -70,35 +77,35 @@
                 run.remember(Some(server), reader.stream(), charged);
                 run.call.key_use.free();
                 finish(&run, sink, finished, charged).await;
-                // The caller's connection, on this thread too, writes the end first.
+                // Lets the caller's connection, which runs on this thread too, write the end first.
                 tokio::task::yield_now().await;
                 return reader.finish().await;
             }
-            End::Orphaned => {
+            StreamEnd::Orphaned => {
                 slot.served();
                 return cancel(run, reader, target, progress).await;
             }
-            End::Cut(error) => {
+            StreamEnd::Failed(error) => {
                 let why = error.to_string();
                 event!(
                     info,
-                    "answer.cut",
+                    "answer.interrupted",
                     server = target.name,
                     key = run.call.key(),
                     why = why
                 );
-                let rest = Leftover {
+                let partial = InterruptedAnswer {
                     address: target.address,
                     stream: reader.stream().map(str::to_owned),
                     seen: progress.seen,
                 };
                 let detail = format!("the answer of {} was cut: {why}", target.name);
-                target.failed(kind(&error));
+                target.failed(error_kind(&error));
                 if !sink.has_sent() && may_retry(&run.call, &mut run.attempt, &why).is_ok() {
-                    leftover = Some(rest);
+                    interrupted = Some(partial);
                     continue;
                 }
-                settle_late(run, rest);
+                settle_late(run, partial);
                 let refusal = Refusal::unknown(RefusalKind::ServerFailed, detail);
                 return sink.fail(refusal).await;
             }
@@ -106,12 +113,13 @@
     }
 }
 
-/// Releases the end of a whole answer, which is charged.
+/// Releases the end of a complete answer after its charge.
 pub async fn finish(run: &Run, sink: Sink, finished: Finished, charged: Tokens) {
     run.node.metrics.count("answer.whole", 1);
-    run.whole();
+    run.mark_complete();
     let receipt = receipt(run.call.key(), charged);
-    sink.finish(finished.last, finished.end, receipt).await;
+    sink.finish(finished.last, finished.end_number, receipt)
+        .await;
 }
 
 async fn dispatch(run: &mut Run, work: &ModelWork) -> Result<Opened, Refusal> {
@@ -128,16 +136,22 @@
     open(node, call, attempt, work.prefix, true, make).await
 }
 
-fn kind(error: &ReadError) -> ErrorKind {
+fn error_kind(error: &ReadError) -> ErrorKind {
     match error {
         ReadError::Gone | ReadError::Broken(_) => ErrorKind::Broken,
         ReadError::Lost(_) => ErrorKind::Timeout,
     }
 }
 
-/// The signed token that resumes the stream at any router.
+/// Returns the signed token with which any router can resume the stream.
 #[must_use]
-pub fn token(node: &Node, call: &Call, chat: bool, server: &ServerName, stream: &str) -> String {
+pub fn resume_token(
+    node: &Node,
+    call: &Call,
+    chat: bool,
+    server: &ServerName,
+    stream: &str,
+) -> String {
     let seat = node.members.seat(&call.budget);
     let token = ResumeToken {
         key: call.key().as_bytes().to_vec(),
@@ -157,13 +171,13 @@
     token.sign(&node.secret)
 }
 
-/// Ends a stream that nobody waits for, and charges what ran.
+/// Cancels a stream whose caller is gone, and charges the tokens that the engine ran.
 async fn cancel(mut run: Run, mut reader: Reader, target: Target, progress: Progress) {
     let address = target.address;
     let Some(stream) = reader.stream().map(str::to_owned) else {
         return;
     };
-    let options = run.node.send_options(CANCEL_TIME, false);
+    let options = run.node.send_options(CANCEL_TIMEOUT, false);
     let request = engine::cancel(address, &stream);
     if let Err(error) = upstream::send(address, request, options).await {
         event!(
@@ -173,7 +187,7 @@
             why = error
         );
     }
-    let until = Instant::now() + CANCEL_TIME;
+    let until = Instant::now() + CANCEL_TIMEOUT;
     let ended = tokio::time::timeout_at(until, read_usage(&mut reader)).await;
     drop(target);
     run.node.metrics.count("answer.orphaned", 1);
@@ -181,10 +195,10 @@
         run.charge(tokens_run(usage)).await;
         return;
     }
-    let leftover = Leftover {
+    let interrupted = InterruptedAnswer {
         address,
         stream: None,
         seen: progress.seen,
     };
-    settle_late(run, leftover);
+    settle_late(run, interrupted);
 }
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of a router share.
+//! State that the tasks of a router share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,19 +25,19 @@
 use crate::settings::Settings;
 use swiftlink_gateway::upstream::SendOptions;
 
-/// Shared state of one router process. The request path reads it without locks,
-/// but for the short ones of a pool's queue and fleet.
+/// Shared state of one router process. On the request path only a pool's queue and its
+/// fleet take locks, and hold them briefly.
 #[derive(Debug)]
 pub struct Node {
     /// Settings of the process.
     pub settings: Settings,
-    /// Callers' address, as bound.
+    /// Bound address of the listener for callers.
     pub address: SocketAddr,
-    /// Metrics of the process.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// The configuration in force.
+    /// The current configuration.
     pub config: Arc<ConfigView>,
-    /// Links to the ledgers.
+    /// Connections to the ledgers.
     pub ledgers: Arc<Ledgers>,
     /// Memberships of the budget streams.
     pub members: Arc<Members>,
@@ -45,11 +45,11 @@
     pub claimers: Claimers,
     /// Request keys in use.
     pub keys: Arc<Keys>,
-    /// Request keys dispatched before.
+    /// Request keys that this router has dispatched, with the result of each run.
     pub history: Arc<RunHistory>,
-    /// Peer routers that requests were relayed to.
+    /// Liveness of the peer routers that requests are relayed to.
     pub peers: Arc<Peers>,
-    /// Hands charges to ledgers.
+    /// Submits charges to the ledgers.
     pub settler: Arc<Settler>,
     /// Intents of non-idempotent requests.
     pub intents: Arc<Intents>,
@@ -57,39 +57,39 @@
     pub pools: Arc<Pools>,
     /// Signs resume tokens.
     pub secret: TokenSecret,
-    /// Runtime for work that outlives a caller's connection.
+    /// Runtime for tasks that outlive a caller's connection.
     pub runtime: Handle,
-    /// Work on `runtime` that a stop waits for.
+    /// Tasks on `runtime` that a shutdown waits for.
     pub tasks: TaskTracker,
-    /// Charges of cut answers that were put off.
-    pub late: TaskTracker,
-    /// Cancelled once no request is in flight any more: what was put off is done now.
+    /// Deferred charges of interrupted answers.
+    pub deferred: TaskTracker,
+    /// Cancelled once no request is in flight: deferred charges are then submitted at once.
     pub closing: CancellationToken,
-    /// Set once no new request is taken.
+    /// Set once new requests are refused.
     pub stopping: AtomicBool,
 }
 
 impl Node {
-    /// Whether no new request is taken.
+    /// Whether new requests are refused.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether an operator states that this router's VM is gone for good.
+    /// Whether an operator has declared this router's VM permanently gone.
     #[must_use]
     pub fn is_retired(&self) -> bool {
         self.config.load().is_retired(&self.settings.common.vm)
     }
 
-    /// Whether a newer configuration may exist; true before the first.
+    /// Whether a newer configuration may exist; true before the first one has arrived.
     #[must_use]
     pub fn is_stale(&self) -> bool {
         self.config.is_stale()
     }
 
-    /// How a request to a backend server may use connections, when `left` is left
-    /// until its deadline.
+    /// Returns the connection options of a request to a backend server that has `left` until
+    /// its deadline.
     #[must_use]
     pub fn send_options(&self, left: Duration, fresh: bool) -> SendOptions {
         SendOptions {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Limits of reading an engine's answer.
+    /// Returns the time limits for reading an engine's answer.
     #[must_use]
     pub fn read_options(&self) -> ReadOptions {
         let stall = Duration::from_millis(self.settings.stall_ms);
--- a/crates/router/src/pass.rs
+++ b/crates/router/src/pass.rs
@@ -1,4 +1,4 @@
-//! Passes an engine's chunks on to a sink and finds what the run cost.
+//! Forwards an engine's chunks to a sink and determines how many tokens the run took.
 
 use std::time::Duration;
 
@@ -10,48 +10,49 @@
 use crate::reader::{ReadError, Reader};
 use crate::sink::{LastChunk, Sink};
 
-/// What stands in a chunk that may tell the usage.
+/// Text that each chunk with a usage report contains.
 const USAGE_MARK: &str = "\"usage\"";
 
-/// How the chunks ended.
+/// How a stream of chunks ended.
 #[derive(Debug)]
-pub enum End {
-    /// All came.
-    Whole(Finished),
-    /// The rest can't be had.
-    Cut(ReadError),
-    /// The caller has gone, and the time that its answer runs on is over.
+pub enum StreamEnd {
+    /// All chunks arrived.
+    Complete(Finished),
+    /// The remaining chunks can't be read.
+    Failed(ReadError),
+    /// The caller is gone, and the time for which its answer runs on has passed.
     Orphaned,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Finished {
-    /// The last chunk, kept back; it tells the usage.
+    /// The last chunk, held back until the charge; it reports the usage.
     pub last: Option<LastChunk>,
-    /// Number of the end mark.
-    pub end: u64,
-    /// Tokens run; without the engine's word, the chunks seen.
+    /// Number of the end marker.
+    pub end_number: u64,
+    /// Tokens run; the number of chunks seen if the engine reported no usage.
     pub tokens: Tokens,
 }
 
-/// Progress of one pass.
+/// Progress of reading one stream.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Chunks with a part of the answer seen so far.
+    /// Chunks received so far.
     pub seen: Tokens,
-    /// The first chunk came at.
+    /// Arrival time of the first chunk.
     pub first: Option<Instant>,
 }
 
-/// Passes chunks until the answer is whole, cut or orphaned for `orphan`.
-pub async fn pass(
+/// Forwards chunks until the answer is complete or has failed, or its caller has been gone
+/// for `orphan`.
+pub async fn forward_chunks(
     reader: &mut Reader,
     sink: &mut Sink,
     progress: &mut Progress,
     orphan: Duration,
     mut on_first: impl FnMut(),
-) -> End {
+) -> StreamEnd {
     let mut last: Option<LastChunk> = None;
     let mut until = None;
     let mut next_number = 0;
@@ -63,47 +64,47 @@
             None => reader.next().await,
             Some(until) => match timeout_at(until, reader.next()).await {
                 Ok(next) => next,
-                Err(_elapsed) => return End::Orphaned,
+                Err(_elapsed) => return StreamEnd::Orphaned,
             },
         };
         let chunk = match next {
             Ok(Some(chunk)) => chunk,
             Ok(None) => break,
-            Err(error) => return End::Cut(error),
+            Err(error) => return StreamEnd::Failed(error),
         };
         if progress.first.is_none() {
             progress.first = Some(Instant::now());
             on_first();
         }
-        // A chunk after the one with the usage: that one wasn't the last.
+        // Another chunk follows, so the one with the usage wasn't the last.
         if let Some(kept) = last.take() {
             sink.push(kept.number, &kept.data).await;
         }
         next_number = chunk.number + 1;
         progress.seen += 1;
-        last = take(chunk, sink).await;
+        last = forward_or_hold(chunk, sink).await;
     }
     let usage = last.as_ref().and_then(|last| last.part.usage);
-    End::Whole(Finished {
+    StreamEnd::Complete(Finished {
         tokens: usage.map_or(progress.seen, tokens_run),
         last,
-        end: next_number,
+        end_number: next_number,
     })
 }
 
-/// Passes the chunk on, or keeps it back when it tells the usage.
-async fn take(chunk: Chunk, sink: &mut Sink) -> Option<LastChunk> {
+/// Forwards the chunk, or holds it back if it reports the usage.
+async fn forward_or_hold(chunk: Chunk, sink: &mut Sink) -> Option<LastChunk> {
     let number = chunk.number;
     let data = String::from_utf8_lossy(&chunk.data).into_owned();
-    if let Some(part) = usage_part(&data) {
+    if let Some(part) = parse_usage(&data) {
         return Some(LastChunk { number, data, part });
     }
     sink.push(number, &data).await;
     None
 }
 
-/// The chunk's content, if it tells the usage.
-fn usage_part(data: &str) -> Option<swiftlink_stream::Completion> {
+/// Parses the chunk if it reports the usage.
+fn parse_usage(data: &str) -> Option<swiftlink_stream::Completion> {
     if !data.contains(USAGE_MARK) {
         return None;
     }
@@ -113,12 +114,12 @@
     }
 }
 
-/// Reads on without a caller, for the usage only; `None` when it can't be had.
+/// Reads the rest of a stream for its usage only; `None` if the stream fails or reports none.
 pub async fn read_usage(reader: &mut Reader) -> Option<Usage> {
     let mut usage = None;
     while let Some(chunk) = reader.next().await.ok()? {
         let data = String::from_utf8_lossy(&chunk.data);
-        if let Some(part) = usage_part(&data) {
+        if let Some(part) = parse_usage(&data) {
             usage = part.usage;
         }
     }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,9 +1,10 @@
-//! Whether a peer router that a relayed request waits for is still alive.
+//! Liveness of the peer routers that relayed requests wait for.
 //!
-//! The head of a whole answer comes at its end, so a long wait tells nothing of the
-//! peer. While a request waits for a peer, the peer is asked for a sign of life; one
-//! that gives none, twice in a row, is given up: a frozen process, a cut network. The
-//! kernel of a frozen process still takes connections, so only an answer counts.
+//! The head of an unstreamed answer arrives only at its end, so a long wait says nothing
+//! about the peer's health. While a request waits for a peer, the peer is probed. After two
+//! failed probes in a row it counts as silent (a frozen process or a network partition) and
+//! is given up. The kernel of a frozen process still accepts connections, so only an answer
+//! counts as a sign of life.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,37 +23,37 @@
 use crate::engine;
 use swiftlink_gateway::upstream::{SendOptions, send};
 
-/// Path of a probe. Any answer is a sign of life.
-const PROBE: &str = "/health";
-/// Probes without an answer after which a peer counts as silent.
-const MISSES: u32 = 2;
-/// Time for which a peer that could not be reached is not tried again.
-const DOWN_TIME: Duration = Duration::from_secs(1);
-/// Time for which a silent peer that nobody waits for is asked on.
-const SILENT_TIME: Duration = Duration::from_secs(30);
+/// Path of a probe. Any answer, whatever its status, is a sign of life.
+const PROBE_PATH: &str = "/health";
+/// Unanswered probes in a row after which a peer counts as silent.
+const MAX_MISSES: u32 = 2;
+/// Backoff after a failed connection to a peer.
+const CONNECT_BACKOFF: Duration = Duration::from_secs(1);
+/// Time for which a silent peer is still probed when no request waits for it.
+const SILENT_RETENTION: Duration = Duration::from_secs(30);
 
-/// The peers that requests wait for, and those that were found silent.
+/// Peers that requests wait for, and peers that are silent or unreachable.
 #[derive(Debug)]
 pub struct Peers {
     runtime: Handle,
     tasks: TaskTracker,
     period: Duration,
     stop: CancellationToken,
-    list: Mutex<HashMap<SocketAddr, Peer>>,
-    /// Peers that could not be reached, and when.
-    down: Mutex<HashMap<SocketAddr, Instant>>,
+    peers: Mutex<HashMap<SocketAddr, Peer>>,
+    /// Time of the last failed connection to each unreachable peer.
+    unreachable: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
 #[derive(Debug)]
 struct Peer {
-    /// Requests that wait for it.
-    users: usize,
+    /// Number of requests that wait for it.
+    waiters: usize,
     silent: watch::Sender<bool>,
 }
 
 impl Peers {
-    /// Asks each peer in use every `period` and gives it as long for its answer; the
-    /// work runs on `runtime` until `stop` and is joined by `tasks`.
+    /// Probes each peer in use every `period`, with `period` as the timeout. The probes run on
+    /// `runtime` until `stop`, tracked by `tasks`.
     #[must_use]
     pub fn new(
         runtime: Handle,
@@ -65,74 +66,81 @@
             tasks,
             period,
             stop,
-            list: Mutex::default(),
-            down: Mutex::default(),
+            peers: Mutex::default(),
+            unreachable: Mutex::default(),
         })
     }
 
-    /// Watches the peer at `address` for as long as the answer is kept.
+    /// Probes the peer at `address` until the returned handle is dropped.
     #[must_use]
-    pub fn watch(self: &Arc<Self>, address: SocketAddr) -> Watched {
-        let mut list = self.lock();
-        let is_new = !list.contains_key(&address);
-        let peer = list.entry(address).or_insert_with(|| Peer {
-            users: 0,
+    pub fn watch(self: &Arc<Self>, address: SocketAddr) -> PeerWatch {
+        let mut peers = self.lock();
+        let is_new = !peers.contains_key(&address);
+        let peer = peers.entry(address).or_insert_with(|| Peer {
+            waiters: 0,
             silent: watch::Sender::new(false),
         });
-        peer.users += 1;
+        peer.waiters += 1;
         let silent = peer.silent.subscribe();
         if is_new {
             let work = Arc::clone(self).probe(address, peer.silent.clone());
             self.tasks.spawn_on(work, &self.runtime);
         }
-        Watched {
+        PeerWatch {
             peers: Arc::clone(self),
             address,
             silent,
         }
     }
 
-    /// Notes that no connection to the peer could be made. Requests that wait for it go
-    /// on: a router that stops takes no new connection and ends what it has begun.
-    pub fn note_down(&self, address: SocketAddr) {
-        let mut down = self.down.lock().unwrap_or_else(PoisonError::into_inner);
-        down.retain(|_, at| at.elapsed() < DOWN_TIME);
-        down.insert(address, Instant::now());
+    /// Notes a failed connection to the peer. Requests that already wait for it continue: a
+    /// router that shuts unreachable accepts no connections but completes its requests in flight.
+    pub fn on_connect_failure(&self, address: SocketAddr) {
+        let mut unreachable = self
+            .unreachable
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        unreachable.retain(|_, at| at.elapsed() < CONNECT_BACKOFF);
+        unreachable.insert(address, Instant::now());
     }
 
-    /// Whether nothing speaks against the peer: it is neither silent nor was it out of
-    /// reach a moment ago.
+    /// Whether the peer is neither silent nor in backoff after a failed connection.
     #[must_use]
     pub fn is_up(&self, address: SocketAddr) -> bool {
         let is_silent = |peer: &Peer| *peer.silent.borrow();
         if self.lock().get(&address).is_some_and(is_silent) {
             return false;
         }
-        let down = self.down.lock().unwrap_or_else(PoisonError::into_inner);
-        down.get(&address)
-            .is_none_or(|at| at.elapsed() >= DOWN_TIME)
+        let unreachable = self
+            .unreachable
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        unreachable
+            .get(&address)
+            .is_none_or(|at| at.elapsed() >= CONNECT_BACKOFF)
     }
 
-    /// Probes the peer until nobody waits for it any more.
+    /// Probes the peer until no request waits for it.
     async fn probe(self: Arc<Self>, address: SocketAddr, silent: watch::Sender<bool>) {
         let mut misses = 0;
-        let mut heard = Instant::now();
+        let mut answered = Instant::now();
         loop {
             tokio::select! {
                 () = self.stop.cancelled() => return,
                 () = sleep(self.period) => {}
             }
             let is_silent = *silent.borrow();
-            if (!is_silent || heard.elapsed() > SILENT_TIME) && self.leave(address) {
+            if (!is_silent || answered.elapsed() > SILENT_RETENTION) && self.remove_unused(address)
+            {
                 return;
             }
             if self.is_alive(address).await {
                 misses = 0;
-                heard = Instant::now();
+                answered = Instant::now();
             } else {
                 misses += 1;
             }
-            let now_silent = misses >= MISSES;
+            let now_silent = misses >= MAX_MISSES;
             if now_silent != is_silent {
                 event!(info, "peer.silent", peer = address, silent = now_silent);
                 silent.send_replace(now_silent);
@@ -140,60 +148,60 @@
         }
     }
 
-    /// Forgets the peer if nobody waits for it.
-    fn leave(&self, address: SocketAddr) -> bool {
-        let mut list = self.lock();
-        let is_left = list.get(&address).is_none_or(|peer| peer.users == 0);
-        if is_left {
-            list.remove(&address);
+    /// Removes the peer if no request waits for it; returns whether it is removed.
+    fn remove_unused(&self, address: SocketAddr) -> bool {
+        let mut peers = self.lock();
+        let is_removed = peers.get(&address).is_none_or(|peer| peer.waiters == 0);
+        if is_removed {
+            peers.remove(&address);
         }
-        is_left
+        is_removed
     }
 
     async fn is_alive(&self, address: SocketAddr) -> bool {
-        let request = engine::plain(address, Method::GET, PROBE, Bytes::new());
+        let request = engine::plain(address, Method::GET, PROBE_PATH, Bytes::new());
         let options = SendOptions {
             connect: self.period,
             head: self.period,
-            // Some other request's idle connection may be on its way to the end.
+            // The peer may be closing an idle connection of an earlier request.
             fresh: true,
         };
         send(address, request, options).await.is_ok()
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Peer>> {
-        self.list.lock().unwrap_or_else(PoisonError::into_inner)
+        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A peer that is watched for one request.
+/// Handle of one request that waits for a probed peer.
 #[derive(Debug)]
-pub struct Watched {
+pub struct PeerWatch {
     peers: Arc<Peers>,
     address: SocketAddr,
     silent: watch::Receiver<bool>,
 }
 
-impl Watched {
-    /// Whether the peer is known to be silent.
+impl PeerWatch {
+    /// Whether the peer counts as silent now.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         *self.silent.borrow()
     }
 
-    /// Resolves once the peer is silent.
-    pub async fn silenced(&mut self) {
+    /// Resolves once the peer counts as silent.
+    pub async fn wait_until_silent(&mut self) {
         if self.silent.wait_for(|silent| *silent).await.is_err() {
-            // Nobody asks any more: this process is stopping.
+            // Probing has ended because this process is shutting unreachable.
             std::future::pending::<()>().await;
         }
     }
 }
 
-impl Drop for Watched {
+impl Drop for PeerWatch {
     fn drop(&mut self) {
         if let Some(peer) = self.peers.lock().get_mut(&self.address) {
-            peer.users = peer.users.saturating_sub(1);
+            peer.waiters = peer.waiters.saturating_sub(1);
         }
     }
 }
--- a/crates/router/src/pings.rs
+++ b/crates/router/src/pings.rs
@@ -1,4 +1,4 @@
-//! Asks the ledgers whether the log is out for them too.
+//! Pings the ledgers to learn whether they can reach the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +13,30 @@
 use crate::freshness::{Pong, Rule};
 use crate::ledgers::{Ledger, Ledgers};
 
-/// Time between two pings of a ledger.
+/// Time between two rounds of pings.
 const PERIOD: Duration = Duration::from_secs(1);
-/// Longest wait for an answer: less than the period.
-const ANSWER_TIME: Duration = Duration::from_millis(900);
-/// Time for which an answer speaks: two periods and a slow answer.
-const PONG_MICROS: Micros = 2_500_000;
-/// Age of a ledger's last contact from which on the log is out for it. In service it
-/// hears from the log at least every second.
-const OUT_MICROS: Micros = 2_500_000;
-/// A ledger that had no contact with the log since its start tells the largest `u32`.
+/// Longest wait for an answer; shorter than the period, so that rounds do not overlap.
+const PONG_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time for which an answer is valid: two periods and a slow answer.
+const PONG_VALIDITY_MICROS: Micros = 2_500_000;
+/// Age of a ledger's last contact with the log from which the log counts as unavailable to it.
+/// A working log contacts each ledger at least every second.
+const LOG_DOWN_MICROS: Micros = 2_500_000;
+/// Age that a ledger reports (the largest `u32`) if it had no contact with the log since its
+/// start.
 pub const NO_CONTACT_MS: u64 = u32::MAX as u64;
 
-/// The rule by which a configuration is judged, where it is stale by itself over `stale`.
+/// Returns the freshness rule of a configuration that counts as stale at an age over `stale`.
 #[must_use]
 pub fn rule(stale: Duration) -> Rule {
     Rule {
         stale: Micros::try_from(stale.as_micros()).unwrap_or(Micros::MAX),
-        pong: PONG_MICROS,
-        out: OUT_MICROS,
+        pong: PONG_VALIDITY_MICROS,
+        out: LOG_DOWN_MICROS,
     }
 }
 
-/// Pings up to `sample` ledgers a second, in turn, until `stop`.
+/// Pings up to `sample` ledgers per second, round-robin, until `stop`.
 pub async fn ping(
     view: Arc<ConfigView>,
     ledgers: Arc<Ledgers>,
@@ -53,23 +54,23 @@
         }
         let count = sample.min(list.len());
         let chosen = (first..first + count).map(|index| index % list.len());
-        let asks = chosen.map(|index| ask(&view, index, &list[index]));
+        let pings = chosen.map(|index| ping_ledger(&view, index, &list[index]));
         tokio::select! {
             () = stop.cancelled() => return,
-            _ = join_all(asks) => {}
+            _ = join_all(pings) => {}
         }
         first = (first + count) % list.len();
     }
 }
 
-async fn ask(view: &ConfigView, index: usize, ledger: &Ledger) {
+async fn ping_ledger(view: &ConfigView, index: usize, ledger: &Ledger) {
     if !ledger.client.is_up() {
         return;
     }
     let asked = view.now();
     let call = ledger
         .client
-        .call(request::Kind::Ping(Ping {}), ANSWER_TIME);
+        .call(request::Kind::Ping(Ping {}), PONG_TIMEOUT);
     let Ok(reply::Kind::Pong(pong)) = call.await else {
         return;
     };
--- a/crates/router/src/problem.rs
+++ b/crates/router/src/problem.rs
@@ -1,18 +1,18 @@
-//! Refusals as HTTP answers (RFC 9457).
+//! Refusals as HTTP responses with problem details (RFC 9457).
 
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, Response, StatusCode};
 use swiftlink_shell::web::Body;
 use swiftlink_types::{OUTCOME_HEADER, Refusal, RequestKey};
 
-/// Header that names the request key of an answer.
+/// Response header with the request key.
 pub const KEY_HEADER: &str = "swiftlink-key";
-/// Header with the budget tokens that an answer was charged.
+/// Response header with the budget tokens charged.
 pub const CHARGED_HEADER: &str = "swiftlink-charged";
-/// Media type of a problem.
+/// Media type of problem details.
 const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// The answer to a request that is not served in full.
+/// Builds the response for a refused or failed request.
 #[must_use]
 pub fn respond(refusal: &Refusal, key: Option<RequestKey>) -> Response<Body> {
     let body = serde_json::to_vec(&refusal.problem()).unwrap_or_default();
@@ -32,7 +32,7 @@
     response
 }
 
-/// Adds the request key to an answer's headers.
+/// Adds the request key to the response headers.
 pub fn set_key(headers: &mut HeaderMap, key: RequestKey) {
     if let Ok(value) = HeaderValue::from_str(&key.to_string()) {
         headers.insert(KEY_HEADER, value);
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -1,7 +1,7 @@
-//! The queue of one pool: requests wait for a slot in front of its backend servers.
+//! The queue of one pool, where requests wait for a slot at one of its backend servers.
 //!
-//! The decisions are [`swiftlink_admission::Queue`]'s; this is its clock and its
-//! wake-ups. The lock belongs to one pool and is held for a few steps in memory.
+//! [`swiftlink_admission::Queue`] makes the decisions; this module adds the clock and wakes
+//! the waiting tasks. Each pool has its own lock, held only for short operations in memory.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,25 +14,25 @@
 
 use crate::admit::no_server;
 
-/// Time between looks for entries that can't be served in time any more.
-const EXPIRY_TICK: Duration = Duration::from_millis(20);
+/// Time between checks for entries that can no longer meet their deadline.
+const EXPIRY_PERIOD: Duration = Duration::from_millis(20);
 
-type Turn = Result<Slot, Refusal>;
+type SlotResult = Result<Slot, Refusal>;
 
 struct Inner {
-    queue: Queue<oneshot::Sender<Turn>>,
+    queue: Queue<oneshot::Sender<SlotResult>>,
     limiter: Limiter,
 }
 
 impl Inner {
-    /// No backend server takes work: nothing may wait. With any slot at all the
-    /// limiter leaves one.
+    /// Whether no backend server takes work, so that no request may wait. The limiter never
+    /// lowers the limit to 0 while there is a slot.
     fn is_closed(&self) -> bool {
         self.limiter.limit() == 0
     }
 
-    /// Gives the queue as many slots as the limiter leaves.
-    fn limit(&mut self) {
+    /// Applies the limiter's limit to the queue.
+    fn apply_limit(&mut self) {
         self.queue.set_slots(self.limiter.limit());
     }
 }
@@ -42,8 +42,8 @@
     pool: PoolName,
     inner: Mutex<Inner>,
     start: Instant,
-    /// When entries that are late were last looked for.
-    checked: AtomicU64,
+    /// Time of the last check for expired entries, in microseconds since `start`.
+    last_check: AtomicU64,
 }
 
 impl std::fmt::Debug for PoolQueue {
@@ -52,21 +52,21 @@
     }
 }
 
-/// What a request shows to the queue.
+/// A request that asks for a slot.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its priority class.
+    /// Priority class of the request.
     pub class: ClassName,
     /// How the class is queued.
     pub spec: ClassSpec,
-    /// Hash that knows it again when it comes back.
+    /// Hash that identifies the request when its caller sends it again.
     pub key: u64,
     /// Time left until its deadline.
     pub left: Duration,
 }
 
 impl PoolQueue {
-    /// An empty queue of `pool` without slots.
+    /// Creates an empty queue of `pool` without slots.
     #[must_use]
     pub fn new(pool: PoolName) -> Arc<Self> {
         let policy = LimiterPolicy {
@@ -81,78 +81,77 @@
             pool,
             inner: Mutex::new(inner),
             start: Instant::now(),
-            checked: AtomicU64::new(0),
+            last_check: AtomicU64::new(0),
         })
     }
 
-    /// Sets the slots of all backend servers that take work. With none left, those
-    /// who wait are refused at once: held until their deadline they would only wait
-    /// for the same answer.
+    /// Sets the total number of slots of the backend servers that take work. With none left,
+    /// waiting requests are refused at once: waiting longer would end in the same refusal.
     pub fn set_slots(self: &Arc<Self>, slots: usize) {
         let mut inner = self.lock();
         inner.limiter.set_max(slots);
-        inner.limit();
+        inner.apply_limit();
         if inner.is_closed() {
             for entry in inner.queue.drain() {
-                // The request may have gone.
+                // The request may have been dropped.
                 let _gone = entry.payload.send(Err(no_server(&self.pool, None)));
             }
         }
-        let spare = self.pump(&mut inner);
+        let unclaimed = self.pump(&mut inner);
         drop(inner);
-        drop(spare);
+        drop(unclaimed);
     }
 
     /// Waits for a slot.
     ///
     /// # Errors
-    /// When no server takes work, the queue has no room or the deadline can't be met;
-    /// with the time to come back.
-    pub async fn acquire(self: &Arc<Self>, arrival: Arrival) -> Turn {
+    /// Fails if no server takes work, the queue is full or the deadline can't be met; the
+    /// refusal carries the time after which to retry.
+    pub async fn acquire(self: &Arc<Self>, arrival: Arrival) -> SlotResult {
         let (sender, mut receiver) = oneshot::channel();
         self.push(arrival, sender)?;
-        if let Ok(turn) = receiver.try_recv() {
-            return turn;
+        if let Ok(result) = receiver.try_recv() {
+            return result;
         }
         loop {
             tokio::select! {
-                turn = &mut receiver => {
+                result = &mut receiver => {
                     let gone = || Refusal::not_run(RefusalKind::Unavailable, "the queue is gone");
-                    return turn.unwrap_or_else(|_closed| Err(gone()));
+                    return result.unwrap_or_else(|_closed| Err(gone()));
                 }
-                () = tokio::time::sleep(EXPIRY_TICK) => self.expire(),
+                () = tokio::time::sleep(EXPIRY_PERIOD) => self.expire(),
             }
         }
     }
 
-    /// Requests that wait, and slots in use.
+    /// Returns the number of waiting requests and of slots in use.
     #[must_use]
     pub fn depth(&self) -> (usize, usize) {
         let inner = self.lock();
         (inner.queue.len(), inner.queue.in_flight())
     }
 
-    /// Notes the time from dispatch to the first token.
+    /// Records the time from dispatch to the first token.
     pub fn on_first_token(&self, time: Duration) {
         let mut inner = self.lock();
         let in_flight = inner.queue.in_flight();
         inner
             .limiter
             .on_first_token(time.as_micros() as Micros, in_flight);
-        inner.limit();
+        inner.apply_limit();
     }
 
-    /// Notes that a backend server refused work because it is full.
+    /// Records that a backend server refused work because it is full.
     pub fn on_full(&self) {
         let mut inner = self.lock();
         inner.limiter.on_full();
-        inner.limit();
+        inner.apply_limit();
     }
 
     fn push(
         self: &Arc<Self>,
         arrival: Arrival,
-        sender: oneshot::Sender<Turn>,
+        sender: oneshot::Sender<SlotResult>,
     ) -> Result<(), Refusal> {
         let now = self.now();
         let mut inner = self.lock();
@@ -168,17 +167,17 @@
             payload: sender,
         };
         let pushed = inner.queue.push(entry, now);
-        let spare = self.pump(&mut inner);
+        let unclaimed = self.pump(&mut inner);
         drop(inner);
-        drop(spare);
+        drop(unclaimed);
         pushed.map(|_ticket| ())
     }
 
-    /// Hands out free slots; the answer are those whose request has gone, to be
-    /// dropped once the lock is released.
+    /// Hands out free slots. Returns slots whose request was dropped meanwhile: dropping a slot
+    /// takes the lock, so the caller must release the lock first.
     #[must_use]
-    fn pump(self: &Arc<Self>, inner: &mut Inner) -> Vec<Turn> {
-        let mut spare = Vec::new();
+    fn pump(self: &Arc<Self>, inner: &mut Inner) -> Vec<SlotResult> {
+        let mut unclaimed = Vec::new();
         while let Some((_ticket, entry)) = inner.queue.pop(self.now()) {
             let slot = Slot {
                 queue: Some(Arc::clone(self)),
@@ -186,28 +185,29 @@
                 served: false,
             };
             if let Err(back) = entry.payload.send(Ok(slot)) {
-                spare.push(back);
-                // Its drop pumps again.
+                unclaimed.push(back);
+                // Dropping it calls `pump` again.
                 break;
             }
         }
-        spare
+        unclaimed
     }
 
-    /// Ends entries that can't be served in time; one waiter in a tick does it for all.
+    /// Refuses entries that can no longer meet their deadline; one waiter per tick does it for
+    /// all.
     fn expire(&self) {
         let now = self.now();
-        let before = self.checked.load(Ordering::Relaxed);
-        let is_due = now >= before + EXPIRY_TICK.as_micros() as Micros / 2;
+        let before = self.last_check.load(Ordering::Relaxed);
+        let is_due = now >= before + EXPIRY_PERIOD.as_micros() as Micros / 2;
         let swapped =
-            self.checked
+            self.last_check
                 .compare_exchange(before, now, Ordering::Relaxed, Ordering::Relaxed);
         if !is_due || swapped.is_err() {
             return;
         }
-        let given_up = self.lock().queue.take_expired(self.now());
-        for entry in given_up {
-            // The request may have gone.
+        let expired = self.lock().queue.take_expired(self.now());
+        for entry in expired {
+            // The request may have been dropped.
             let _gone = entry.entry.payload.send(Err(entry.refusal));
         }
     }
@@ -221,9 +221,9 @@
             }
             None => inner.queue.on_abandoned(),
         }
-        let spare = self.pump(&mut inner);
+        let unclaimed = self.pump(&mut inner);
         drop(inner);
-        drop(spare);
+        drop(unclaimed);
     }
 
     fn now(&self) -> Micros {
@@ -235,7 +235,7 @@
     }
 }
 
-/// The right to keep one request at a backend server; free again when dropped.
+/// Permit to run one request at a backend server; released on drop.
 #[derive(Debug)]
 pub struct Slot {
     queue: Option<Arc<PoolQueue>>,
@@ -244,7 +244,7 @@
 }
 
 impl Slot {
-    /// The request was served to its end, so its time tells of the service.
+    /// Marks the request as served to its end, so that its duration counts as a service time.
     pub fn served(&mut self) {
         self.served = true;
     }
--- a/crates/router/src/reader.rs
+++ b/crates/router/src/reader.rs
@@ -1,7 +1,7 @@
-//! Reads one answer of a model engine: chunks in order, each once, to the end mark.
+//! Reads one answer of a model engine: each chunk once and in order, up to the end marker.
 //!
-//! A connection that ends early, a gap that lasts, or a long silence makes the
-//! reader resume the stream at the engine from the next chunk.
+//! If the connection ends early, a gap in the numbers persists or the engine is silent for too
+//! long, the reader resumes the stream from the next missing chunk.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,18 +20,20 @@
 use crate::engine;
 use swiftlink_gateway::upstream::{Lease, PendingResponse, SendOptions, send};
 
-/// First and largest pause between tries to resume.
+/// First backoff between attempts to resume.
 const RETRY_BASE: Duration = Duration::from_millis(10);
+/// Largest backoff between attempts to resume.
 const RETRY_CAP: Duration = Duration::from_millis(500);
-/// Wait for the body's end after the end mark, so that the connection is kept.
-const TAIL_WAIT: Duration = Duration::from_millis(20);
-/// Resumes without a new chunk after which the stream is given up.
-const FRUITLESS_MAX: u32 = 32;
+/// Longest wait for the end of the body after the end marker; only then can the connection
+/// be reused.
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(20);
+/// Consecutive resumes without a new chunk after which the stream is given up.
+const MAX_IDLE_RESUMES: u32 = 32;
 
-/// Why an answer can't be read to its end.
+/// Reason why an answer can't be read to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The engine no longer has the stream.
+    /// The engine has discarded the stream.
     #[error("the engine no longer has the stream")]
     Gone,
     /// The engine could not be reached in time.
@@ -42,7 +44,7 @@
     Broken(#[from] AssemblerError),
 }
 
-/// Limits of a reader.
+/// Time limits of a reader.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadOptions {
     /// Silence after which the stream is resumed.
@@ -55,7 +57,7 @@
 
 type Events = EventStream<BodyDataStream<Incoming>>;
 
-/// An answer on its way from an engine.
+/// Reader of one engine's answer.
 pub struct Reader {
     address: SocketAddr,
     stream: Option<String>,
@@ -64,14 +66,14 @@
     events: Option<Box<Events>>,
     lease: Option<Lease>,
     start: Instant,
-    /// Since when the engine can't be reached.
-    cut: Option<Instant>,
-    /// Next number when the last chunk came in order.
-    taken: u64,
+    /// Time since which the engine can't be reached.
+    unreachable_since: Option<Instant>,
+    /// Next chunk number at the time of the last progress.
+    last_next: u64,
     backoff: Backoff,
     resumes: u64,
-    /// Resumes since the last chunk.
-    fruitless: u32,
+    /// Resumes since the last new chunk.
+    idle_resumes: u32,
 }
 
 impl fmt::Debug for Reader {
@@ -85,7 +87,7 @@
 }
 
 impl Reader {
-    /// Reads the answer that has begun to come, from chunk `from` on.
+    /// Reads a response whose head has arrived, from chunk `from` on.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -100,7 +102,8 @@
         reader
     }
 
-    /// Reads the engine's stream `stream` from chunk `from` on, once asked to.
+    /// Creates a reader that resumes the engine's stream `stream` from chunk `from` on; it
+    /// connects on the first read.
     #[must_use]
     pub fn resuming(address: SocketAddr, stream: String, from: u64, options: ReadOptions) -> Self {
         let mut reader = Self::idle(address, Some(stream), from, options);
@@ -118,11 +121,11 @@
             events: None,
             lease: None,
             start: now,
-            cut: None,
-            taken: from,
+            unreachable_since: None,
+            last_next: from,
             backoff: Backoff::new(RETRY_BASE, RETRY_CAP),
             resumes: 0,
-            fruitless: 0,
+            idle_resumes: 0,
         }
     }
 
@@ -132,16 +135,16 @@
         self.stream.as_deref()
     }
 
-    /// Number of times that the stream was resumed.
+    /// Number of attempts to resume the stream.
     #[must_use]
     pub fn resumes(&self) -> u64 {
         self.resumes
     }
 
-    /// The next chunk in order; `None` once the answer is whole.
+    /// Returns the next chunk in order; `None` once the answer is complete.
     ///
     /// # Errors
-    /// See [`ReadError`]; no further chunk comes after it.
+    /// See [`ReadError`]; no chunk follows an error.
     pub async fn next(&mut self) -> Result<Option<Chunk>, ReadError> {
         loop {
             if let Some(chunk) = self.assembler.pop() {
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Opens a resumed stream, so that a failure shows before an answer has begun.
+    /// Connects to a resumed stream, so that a failure is known before the answer begins.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -169,12 +172,12 @@
         Ok(())
     }
 
-    /// Keeps the connection for further requests if the answer's body ends at once.
+    /// Returns the connection to the pool if the body ends right after the end marker.
     pub async fn finish(mut self) {
         let Some(events) = self.events.as_mut() else {
             return;
         };
-        let tail = timeout(TAIL_WAIT, events.next()).await;
+        let tail = timeout(BODY_END_TIMEOUT, events.next()).await;
         if !matches!(tail, Ok(None)) {
             return;
         }
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Receives one event, or notes that none came.
+    /// Waits for one event; detaches on a disconnect or a stall.
     async fn receive(&mut self) -> Result<(), ReadError> {
         let limit = match self.assembler.check_at() {
             Some(at) => Duration::from_micros(at.saturating_sub(self.now()).max(1)),
@@ -194,7 +197,7 @@
             return Ok(());
         };
         match timeout(limit, events.next()).await {
-            Ok(Some(Ok(event))) => self.take(event),
+            Ok(Some(Ok(event))) => self.on_event(event),
             Ok(Some(Err(_)) | None) => {
                 self.detach();
                 Ok(())
@@ -208,24 +211,24 @@
         }
     }
 
-    fn take(&mut self, event: Event) -> Result<(), ReadError> {
+    fn on_event(&mut self, event: Event) -> Result<(), ReadError> {
         let now = self.now();
-        // An engine that numbers nothing sends in order over one connection.
+        // An engine without event numbers sends its chunks in order over one connection.
         let number = event.id.parse().unwrap_or_else(|_| self.assembler.next());
         if event.data == DONE {
             self.assembler.end(number, now)?;
         } else {
             self.assembler.push(number, event.data.into(), now)?;
         }
-        if self.assembler.next() > self.taken {
-            self.taken = self.assembler.next();
-            self.fruitless = 0;
+        if self.assembler.next() > self.last_next {
+            self.last_next = self.assembler.next();
+            self.idle_resumes = 0;
             self.backoff.reset();
         }
         Ok(())
     }
 
-    /// Asks the engine for the stream from chunk `from` on; returns after one try.
+    /// Makes one attempt to resume the stream from chunk `from` on.
     async fn resume(&mut self, from: u64) -> Result<(), ReadError> {
         self.detach();
         let Some(stream) = self.stream.clone() else {
@@ -233,22 +236,22 @@
                 "cut before the stream had an id".to_owned(),
             ));
         };
-        let cut = *self.cut.get_or_insert_with(Instant::now);
-        if cut.elapsed() > self.options.resume || self.fruitless >= FRUITLESS_MAX {
+        let since = *self.unreachable_since.get_or_insert_with(Instant::now);
+        if since.elapsed() > self.options.resume || self.idle_resumes >= MAX_IDLE_RESUMES {
             return Err(ReadError::Lost("no progress in time".to_owned()));
         }
-        if self.fruitless > 0 {
+        if self.idle_resumes > 0 {
             tokio::time::sleep(self.backoff.next(rand::random())).await;
         }
         self.resumes += 1;
-        self.fruitless += 1;
+        self.idle_resumes += 1;
         let request = engine::resume(self.address, &stream, from);
         let Ok(answer) = send(self.address, request, self.options.send).await else {
             return Ok(());
         };
         match answer.response.status() {
             StatusCode::OK => {
-                self.cut = None;
+                self.unreachable_since = None;
                 self.attach(answer);
                 let now = self.now();
                 self.assembler.on_resume(now);
--- a/crates/router/src/record.rs
+++ b/crates/router/src/record.rs
@@ -1,7 +1,7 @@
-//! The one line that the log gets about each request.
+//! The access log: one line for each request.
 //!
-//! It is written once the request's task has ended and its answer's head is known.
-//! What a late charge adds to a cut answer has its own events.
+//! A line is written once the request's task has ended and the head of its answer is known.
+//! A deferred charge of an interrupted answer is logged by events of its own.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -15,12 +15,12 @@
 use crate::call::Call;
 use crate::reply::Reply;
 
-/// Outcome of an answer that another run or router gave, and that was passed on.
+/// Outcome of an answer that comes from another router or an earlier run.
 const PASSED: &str = "passed";
-/// Value of a field that isn't known.
+/// Value of an unknown field.
 const NONE: &str = "-";
 
-/// What is known of the answer's head.
+/// Head of the answer.
 #[derive(Debug)]
 struct Head {
     status: u16,
@@ -28,22 +28,22 @@
     refusal: Option<&'static str>,
 }
 
-/// One admitted request; dropping it writes the line.
+/// Log record of one admitted request; dropping it writes the line.
 #[derive(Debug)]
 pub struct Record {
     key: RequestKey,
     workspace: WorkspaceName,
-    begun: Instant,
+    started: Instant,
     charged: AtomicU64,
-    whole: AtomicBool,
-    passed: AtomicBool,
+    is_complete: AtomicBool,
+    is_passed: AtomicBool,
     head: OnceLock<Head>,
 }
 
 impl Record {
-    /// The record of `call`, which was admitted and has begun at `begun`.
+    /// Creates the record of `call`, an admitted request that was received at `started`.
     #[must_use]
-    pub fn new(call: &Call, begun: Instant) -> Arc<Self> {
+    pub fn new(call: &Call, started: Instant) -> Arc<Self> {
         event!(
             debug,
             "request.admitted",
@@ -58,41 +58,41 @@
         Arc::new(Self {
             key: call.key(),
             workspace: call.workspace().clone(),
-            begun,
+            started,
             charged: AtomicU64::new(0),
-            whole: AtomicBool::new(false),
-            passed: AtomicBool::new(false),
+            is_complete: AtomicBool::new(false),
+            is_passed: AtomicBool::new(false),
             head: OnceLock::new(),
         })
     }
 
-    /// Budget tokens were charged for it.
+    /// Adds budget tokens charged for the request.
     pub fn charge(&self, charged: Tokens) {
         self.charged.fetch_add(charged, Ordering::Relaxed);
     }
 
-    /// Its answer came to the end.
-    pub fn whole(&self) {
-        self.whole.store(true, Ordering::Relaxed);
+    /// Marks the answer as complete.
+    pub fn mark_complete(&self) {
+        self.is_complete.store(true, Ordering::Relaxed);
     }
 
-    /// Its answer is passed on from another router or an earlier run.
-    pub fn pass(&self) {
-        self.passed.store(true, Ordering::Relaxed);
+    /// Marks the answer as one from another router or an earlier run.
+    pub fn mark_passed(&self) {
+        self.is_passed.store(true, Ordering::Relaxed);
     }
 
-    /// The head of its answer.
-    pub fn answer(&self, reply: &Reply) {
+    /// Records the head of the answer.
+    pub fn set_head(&self, reply: &Reply) {
         let head = match reply {
             Reply::Refused(refusal) => {
-                detail(&self.key, refusal);
+                log_detail(&self.key, refusal);
                 Head {
                     status: refusal.kind.status(),
                     outcome: Some(refusal.outcome.as_str().to_owned()),
                     refusal: Some(refusal.kind.slug()),
                 }
             }
-            Reply::Whole(status, headers, _) | Reply::Pieces(status, headers, _) => Head {
+            Reply::Complete(status, headers, _) | Reply::Stream(status, headers, _) => Head {
                 status: status.as_u16(),
                 outcome: outcome(headers),
                 refusal: None,
@@ -103,16 +103,16 @@
 
     fn outcome(&self) -> &str {
         let head = self.head.get();
-        let told = head.and_then(|head| head.outcome.as_deref());
+        let stated = head.and_then(|head| head.outcome.as_deref());
         let is_refused = head.is_some_and(|head| head.refusal.is_some());
         let is_set = |flag: &AtomicBool| flag.load(Ordering::Relaxed);
         let unknown = Outcome::Unknown.as_str();
-        match told {
-            Some(told) if is_refused => told,
-            _ if is_set(&self.whole) => Outcome::Ran.as_str(),
-            // The head of a stream can't tell yet.
-            Some(told) if told != unknown => told,
-            _ if is_set(&self.passed) => PASSED,
+        match stated {
+            Some(stated) if is_refused => stated,
+            _ if is_set(&self.is_complete) => Outcome::Ran.as_str(),
+            // The head of a stream precedes its outcome.
+            Some(stated) if stated != unknown => stated,
+            _ if is_set(&self.is_passed) => PASSED,
             _ => unknown,
         }
     }
@@ -124,7 +124,7 @@
             return;
         }
         let head = self.head.get();
-        let ms = self.begun.elapsed().as_millis();
+        let ms = self.started.elapsed().as_millis();
         if let Some(refusal) = head.and_then(|head| head.refusal) {
             return event!(
                 info,
@@ -157,20 +157,20 @@
     Some(value.to_owned())
 }
 
-/// Writes the line of a request that was not admitted. `workspace` is asked for only
-/// when it is written.
+/// Writes the line of a request that was not admitted. `workspace` is called only if the line
+/// is written.
 pub fn refused(
     refusal: &Refusal,
     key: Option<RequestKey>,
     workspace: impl FnOnce() -> Option<WorkspaceName>,
-    begun: Instant,
+    started: Instant,
 ) {
     if !enabled(Level::Info) {
         return;
     }
     let key = key.map_or_else(|| NONE.to_owned(), |key| key.to_string());
     let workspace = workspace();
-    detail(&key, refusal);
+    log_detail(&key, refusal);
     event!(
         info,
         "request.refused",
@@ -180,11 +180,11 @@
         kind = refusal.kind.slug(),
         status = refusal.kind.status(),
         charged = 0,
-        ms = begun.elapsed().as_millis(),
+        ms = started.elapsed().as_millis(),
     );
 }
 
-fn detail(key: &dyn std::fmt::Display, refusal: &Refusal) {
+fn log_detail(key: &dyn std::fmt::Display, refusal: &Refusal) {
     event!(
         debug,
         "request.refusal",
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,7 +1,7 @@
-//! Relays a request that finds no rights here to a peer router, one hop.
+//! Relays a request that this router has no quota for to a peer router, over one hop.
 //!
-//! The peer is watched while it is waited for (see [`crate::peers`]): one that falls
-//! silent is given up at once, and the outcome there isn't known.
+//! The peer is probed while the request waits for it (see [`crate::peers`]). A peer that falls
+//! silent is given up at once; the outcome of the request there is then unknown.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,73 +16,73 @@
 use crate::forward::{end_to_end, pass_body};
 use crate::history::{TrackedRun, digest};
 use crate::node::Node;
-use crate::peers::Watched;
-use crate::reply::{Reply, ReplySender, pieces};
+use crate::peers::PeerWatch;
+use crate::reply::{Reply, ReplySender, channel};
 use crate::serve::send;
 use crate::surface::{KEY, RELAY};
 use swiftlink_gateway::upstream::{PendingResponse, SendError, send as send_http};
 
-/// Peers that are asked for one request.
-const PEERS_MAX: usize = 2;
-/// When to come back after a peer was lost.
+/// Largest number of peers tried for one request.
+const MAX_PEERS: usize = 2;
+/// Retry time given to the caller after the answer of a peer was lost.
 const LOST_RETRY: Duration = Duration::from_secs(1);
-/// Longest refusal of a peer that is read (bytes).
-const REFUSAL_MAX: usize = 16 << 10;
+/// Largest body of a refusal that is read from a peer (bytes).
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
-/// A request that this router can't serve.
+/// Relays one request that this router can't serve.
 #[derive(Debug, Clone, Copy)]
-pub struct Origin<'a> {
-    /// What the router's parts share.
+pub struct Relayer<'a> {
+    /// Shared state of the router.
     pub node: &'a Node,
     /// The request.
     pub call: &'a Call,
 }
 
-/// What became of a relay.
+/// Result of a relay.
 #[derive(Debug)]
-pub enum Relayed {
-    /// The caller has its answer.
+pub enum RelayResult {
+    /// The reply was sent.
     Answered,
-    /// No peer has run the request; the caller still waits.
-    Nowhere(ReplySender),
+    /// No peer has run the request; the caller still waits for a reply.
+    NotRun(ReplySender),
 }
 
-impl Origin<'_> {
-    /// Passes the request to one of `holders` or another peer, or refuses it.
+impl Relayer<'_> {
+    /// Relays the request to one of `holders` or another peer, or refuses it.
     pub async fn relay_or_refuse(
         self,
         holders: Vec<SocketAddr>,
         refusal: Refusal,
         reply: ReplySender,
     ) {
-        if let Relayed::Nowhere(reply) = self.relay(holders, &refusal, reply).await {
+        if let RelayResult::NotRun(reply) = self.relay(holders, &refusal, reply).await {
             send(reply, Reply::Refused(refusal));
         }
     }
 
-    /// Passes the request to one of `holders` or another peer, where what it is refused
-    /// for here need not stand there.
+    /// Relays the request to one of `holders` or another peer, if the reason for `refusal` need
+    /// not apply there.
     pub async fn relay(
         self,
         holders: Vec<SocketAddr>,
         refusal: &Refusal,
         reply: ReplySender,
-    ) -> Relayed {
+    ) -> RelayResult {
         let mut lost = None;
         if may_relay(self.call, refusal) {
-            // Where it may have run is remembered as if it had been dispatched here.
-            let mut past = self.past();
+            // A run at a peer is recorded as if it had been dispatched here.
+            let mut tracked = self.track_run();
             for address in self.candidates(holders) {
-                past.iter_mut().for_each(TrackedRun::dispatch);
+                tracked.iter_mut().for_each(TrackedRun::dispatch);
                 match self.try_peer(address).await {
-                    Tried::Answered(answer, watched) => {
+                    PeerResult::Answered(answer, watched) => {
                         self.node.metrics.count("request.relayed", 1);
-                        pass(answer, watched, reply).await;
-                        return Relayed::Answered;
+                        forward_answer(answer, watched, reply).await;
+                        return RelayResult::Answered;
                     }
-                    Tried::NotRun => past.iter_mut().for_each(TrackedRun::recall),
-                    Tried::Lost(why) => {
-                        past = None;
+                    PeerResult::NotRun => tracked.iter_mut().for_each(TrackedRun::recall),
+                    PeerResult::Lost(why) => {
+                        tracked = None;
                         let detail = format!("the peer router's answer was lost: {why}");
                         let refusal = Refusal::unknown(RefusalKind::ServerFailed, detail);
                         lost = Some(refusal.with_retry(LOST_RETRY));
@@ -94,14 +94,14 @@
             }
         }
         let Some(lost) = lost else {
-            return Relayed::Nowhere(reply);
+            return RelayResult::NotRun(reply);
         };
         send(reply, Reply::Refused(lost));
-        Relayed::Answered
+        RelayResult::Answered
     }
 
-    /// What is to be remembered of the request; nothing of a resumption.
-    fn past(self) -> Option<TrackedRun> {
+    /// Tracks the run in the history, unless the request is a resumption.
+    fn track_run(self) -> Option<TrackedRun> {
         let call = self.call;
         (!call.is_resumption()).then(|| {
             self.node
@@ -119,30 +119,30 @@
                 list.push(peers[(start + step) % peers.len()].address);
             }
         }
-        let mut candidates: Vec<SocketAddr> = Vec::with_capacity(PEERS_MAX);
+        let mut candidates: Vec<SocketAddr> = Vec::with_capacity(MAX_PEERS);
         for address in list {
             let is_known = address == self.node.address || candidates.contains(&address);
             if !is_known && self.node.peers.is_up(address) {
                 candidates.push(address);
             }
         }
-        candidates.truncate(PEERS_MAX);
+        candidates.truncate(MAX_PEERS);
         candidates
     }
 
-    async fn try_peer(self, address: SocketAddr) -> Tried {
+    async fn try_peer(self, address: SocketAddr) -> PeerResult {
         let left = self.call.left();
         if left.is_zero() {
-            return Tried::NotRun;
+            return PeerResult::NotRun;
         }
         let mut watched = self.node.peers.watch(address);
         if watched.is_silent() {
-            return Tried::NotRun;
+            return PeerResult::NotRun;
         }
         let options = self.node.send_options(left, self.call.once);
         let sent = tokio::select! {
             sent = send_http(address, self.request(address), options) => sent,
-            () = watched.silenced() => Err(SendError::Lost("the peer is silent".to_owned())),
+            () = watched.wait_until_silent() => Err(SendError::Lost("the peer is silent".to_owned())),
         };
         let answer = match sent {
             Ok(answer) => answer,
@@ -155,33 +155,33 @@
                     peer = address,
                     why = error.detail()
                 );
-                self.node.peers.note_down(address);
-                return Tried::NotRun;
+                self.node.peers.on_connect_failure(address);
+                return PeerResult::NotRun;
             }
             Err(error @ (SendError::Lost(_) | SendError::TimedOut)) => {
                 let why = error.detail().to_owned();
                 event!(info, "relay.lost", peer = address, why = why);
-                return Tried::Lost(why);
+                return PeerResult::Lost(why);
             }
         };
         if !self.is_refused(&answer) {
-            return Tried::Answered(Box::new(answer), watched);
+            return PeerResult::Answered(Box::new(answer), watched);
         }
         let (response, mut lease) = answer.split();
-        let body = Limited::new(response.into_body(), REFUSAL_MAX);
+        let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
         if body.collect().await.is_ok() {
             lease.recycle();
         }
-        Tried::NotRun
+        PeerResult::NotRun
     }
 
-    /// Whether the peer has not run the request, and another may.
+    /// Whether the peer has not run the request, so that another may.
     fn is_refused(self, answer: &PendingResponse) -> bool {
         let outcome = answer.response.headers().get(OUTCOME_HEADER);
         if outcome.is_some_and(|outcome| outcome == Outcome::NotRun.as_str()) {
             return true;
         }
-        // Of a resumption it is never said that it has not run; reading on runs nothing.
+        // A resumption never has the outcome "not run"; trying it at another peer runs nothing.
         let status = answer.response.status();
         let is_busy = matches!(
             status,
@@ -209,17 +209,17 @@
     }
 }
 
-/// What became of a try.
-enum Tried {
+/// Result of one attempt at a peer.
+enum PeerResult {
     /// The peer answered, and the request may have run there.
-    Answered(Box<PendingResponse>, Watched),
+    Answered(Box<PendingResponse>, PeerWatch),
     /// The peer was not reached or did not run the request.
     NotRun,
     /// The peer was reached and its answer was lost.
     Lost(String),
 }
 
-/// Whether another router may be able to serve what this one can't.
+/// Whether another router may be able to serve the request.
 fn may_relay(call: &Call, refusal: &Refusal) -> bool {
     let kind = refusal.kind;
     let elsewhere = matches!(
@@ -229,17 +229,17 @@
     elsewhere && !call.relayed
 }
 
-/// Passes the peer's answer on as it comes; a silent peer cuts it, and the caller can
-/// resume it at any router.
-async fn pass(answer: Box<PendingResponse>, mut watched: Watched, reply: ReplySender) {
+/// Forwards the peer's answer as it arrives. If the peer falls silent, the caller's connection
+/// is cut, and the caller can resume the stream at any router.
+async fn forward_answer(answer: Box<PendingResponse>, mut watched: PeerWatch, reply: ReplySender) {
     let (response, mut lease) = answer.split();
     let (parts, body) = response.into_parts();
     let headers = end_to_end(&parts.headers);
-    let (sender, receiver) = pieces();
-    send(reply, Reply::Pieces(parts.status, headers, receiver));
+    let (sender, receiver) = channel();
+    send(reply, Reply::Stream(parts.status, headers, receiver));
     let is_silent = tokio::select! {
         _whole = pass_body(body, &mut lease, &sender) => false,
-        () = watched.silenced() => true,
+        () = watched.wait_until_silent() => true,
     };
     if is_silent {
         let cut = std::io::Error::other("the peer router is silent");
--- a/crates/router/src/repeat.rs
+++ b/crates/router/src/repeat.rs
@@ -1,6 +1,6 @@
-//! A request whose key this router has dispatched before.
+//! Requests whose key this router has dispatched before.
 //!
-//! A whole answer is given again from the engine's kept stream: nothing runs and
+//! A complete answer is repeated from the stream that the engine retains: nothing runs and
 //! nothing is charged.
 
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use tokio::time::timeout_at;
 
 use crate::call::{Call, ModelWork, Work};
-use crate::history::{RunHistory, WholeRun};
-use crate::model::token;
+use crate::history::{CompletedRun, RunHistory};
+use crate::model::resume_token;
 use crate::node::Node;
-use crate::pass::{End, Progress, pass};
+use crate::pass::{Progress, StreamEnd, forward_chunks};
 use crate::reader::Reader;
 use crate::reply::{Reply, ReplySender};
 use crate::serve::send;
 use crate::sink::{Sink, receipt};
 
-/// Answers `call` with the answer of the run `whole`, or says that it ran.
-pub async fn run(node: &Node, call: Call, whole: WholeRun, reply: ReplySender) {
-    let charged = whole.charged;
-    let Some((work, mut reader)) = open(node, &call, &whole).await else {
+/// Answers `call` with the answer of `completed`, or with a refusal that says that it ran.
+pub async fn run(node: &Node, call: Call, completed: CompletedRun, reply: ReplySender) {
+    let charged = completed.charged;
+    let Some((work, mut reader)) = open(node, &call, &completed).await else {
         return send(reply, Reply::Refused(not_kept(charged)));
     };
     let mut sink = if work.stream {
@@ -29,46 +29,47 @@
     } else {
         Sink::collect(reply, call.pool.name.as_str(), work.chat)
     };
-    if let (Some(server), Some(stream)) = (&whole.server, &whole.stream) {
-        sink.begin(token(node, &call, work.chat, server, stream));
+    if let (Some(server), Some(stream)) = (&completed.server, &completed.stream) {
+        sink.begin(resume_token(node, &call, work.chat, server, stream));
     }
     let mut progress = Progress::default();
-    // The run has ended; without its caller there is nothing to read on for.
+    // The run has ended and is charged, so the rest is not read if the caller is gone.
     let orphan = Duration::ZERO;
-    match pass(&mut reader, &mut sink, &mut progress, orphan, || {}).await {
-        End::Whole(finished) => {
+    match forward_chunks(&mut reader, &mut sink, &mut progress, orphan, || {}).await {
+        StreamEnd::Complete(finished) => {
             node.metrics.count("answer.repeated", 1);
             let receipt = receipt(call.key(), charged);
-            sink.finish(finished.last, finished.end, receipt).await;
+            sink.finish(finished.last, finished.end_number, receipt)
+                .await;
             reader.finish().await;
         }
-        End::Orphaned => {}
-        End::Cut(_) => sink.fail(not_kept(charged)).await,
+        StreamEnd::Orphaned => {}
+        StreamEnd::Failed(_) => sink.fail(not_kept(charged)).await,
     }
 }
 
-/// Opens the kept stream of the run, if there is one.
-async fn open(node: &Node, call: &Call, whole: &WholeRun) -> Option<(ModelWork, Reader)> {
+/// Opens the retained stream of the run, if the engine still has it.
+async fn open(node: &Node, call: &Call, completed: &CompletedRun) -> Option<(ModelWork, Reader)> {
     let Work::Model(work) = &call.work else {
         return None;
     };
-    let server = whole.server.as_ref()?;
+    let server = completed.server.as_ref()?;
     let address = call.pool.address(server.as_str())?;
-    let stream = whole.stream.clone()?;
+    let stream = completed.stream.clone()?;
     let mut reader = Reader::resuming(address, stream, 0, node.read_options());
     let opened = timeout_at(call.deadline, reader.open()).await;
     opened.ok()?.ok()?;
     Some((work.clone(), reader))
 }
 
-/// The key was sent before with another request.
+/// Refusal: the key was used before for a different request.
 #[must_use]
 pub fn reused() -> Refusal {
     let detail = "the key was sent before with another method, target or body";
     Refusal::unknown(RefusalKind::KeyReused, detail)
 }
 
-/// The key was charged, and this router has no whole answer of it.
+/// Refusal: the key was charged, and this router has no complete answer for it.
 #[must_use]
 pub fn charged() -> Refusal {
     let detail = "a run of this key has ended elsewhere and was charged";
@@ -81,22 +82,23 @@
     Refusal::ran(RefusalKind::KeyInUse, detail)
 }
 
-/// The refusal as it is when this router has dispatched the key before: whatever it is
-/// refused for now, it can't be said that the key has not run.
+/// Changes the outcome of a refusal to unknown if this router has dispatched the key before:
+/// whatever the reason now, the key may have run.
 #[must_use]
 pub fn adjust_outcome(
-    past: &RunHistory,
+    history: &RunHistory,
     workspace: &WorkspaceName,
     key: RequestKey,
     refusal: Refusal,
 ) -> Refusal {
-    if past.knows(workspace, key) {
+    if history.knows(workspace, key) {
         return with_unknown_outcome(refusal);
     }
     refusal
 }
 
-/// The refusal of a request whose key has a run, such as a resumption.
+/// Changes the outcome "not run" to unknown, for a request whose key may have a run, such as a
+/// resumption.
 #[must_use]
 pub fn with_unknown_outcome(mut refusal: Refusal) -> Refusal {
     if refusal.outcome == Outcome::NotRun {
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -1,4 +1,4 @@
-//! The answer of a request's task, on its way to the thread of the caller's connection.
+//! Replies that a request's task sends to the caller's connection.
 
 use std::io;
 
@@ -11,40 +11,40 @@
 
 use crate::problem;
 
-/// Pieces of a streamed answer that wait for the caller's connection.
-const PIECES: usize = 32;
+/// Largest number of buffered channel of a streamed answer.
+const MAX_PIECES: usize = 32;
 
-/// An answer.
+/// Reply to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// Not served in full.
+    /// A refusal or a failure.
     Refused(Refusal),
-    /// Whole.
-    Whole(StatusCode, HeaderMap, Bytes),
-    /// In pieces.
-    Pieces(StatusCode, HeaderMap, mpsc::Receiver<Piece>),
+    /// A complete answer.
+    Complete(StatusCode, HeaderMap, Bytes),
+    /// A streamed answer.
+    Stream(StatusCode, HeaderMap, mpsc::Receiver<Piece>),
 }
 
-/// A piece of a streamed answer; an error cuts the caller's connection.
+/// A piece of a streamed answer; an error closes the caller's connection early.
 pub type Piece = Result<Bytes, io::Error>;
 
-/// Where a request's task puts its answer.
+/// Sends the reply of a request's task.
 pub type ReplySender = oneshot::Sender<Reply>;
 
-/// The two ends of a streamed answer.
+/// Creates the channel of a streamed answer.
 #[must_use]
-pub fn pieces() -> (mpsc::Sender<Piece>, mpsc::Receiver<Piece>) {
-    mpsc::channel(PIECES)
+pub fn channel() -> (mpsc::Sender<Piece>, mpsc::Receiver<Piece>) {
+    mpsc::channel(MAX_PIECES)
 }
 
 impl Reply {
-    /// The HTTP response.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn into_response(self, key: RequestKey) -> Response<Body> {
         let (status, headers, body) = match self {
             Self::Refused(refusal) => return problem::respond(&refusal, Some(key)),
-            Self::Whole(status, headers, body) => (status, headers, Body::full(body)),
-            Self::Pieces(status, headers, receiver) => {
+            Self::Complete(status, headers, body) => (status, headers, Body::full(body)),
+            Self::Stream(status, headers, receiver) => {
                 (status, headers, Body::stream(stream(receiver)))
             }
         };
--- a/crates/router/src/resume.rs
+++ b/crates/router/src/resume.rs
@@ -1,7 +1,7 @@
-//! Resumes a model's answer that the caller has seen a part of.
+//! Resumes a model's answer of which the caller has received a part.
 //!
-//! Any router can: the token names server and stream. The run is charged under its
-//! own key, so that whichever router reaches its end first charges it.
+//! Any router can do so, since the token names the server and the stream. The run is charged
+//! under its original key, by whichever router reaches the end of the stream first.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::call::Work;
 use crate::model::finish;
-use crate::pass::{End, Finished, Progress, pass, read_usage};
+use crate::pass::{Finished, Progress, StreamEnd, forward_chunks, read_usage};
 use crate::reader::{ReadError, Reader};
 use crate::reply::{Reply, ReplySender};
 use crate::serve::{Run, send};
@@ -23,11 +23,11 @@
     let server = work.token.server.as_str();
     let Some(address) = run.call.pool.address(server) else {
         let detail = format!("the backend server {server} is no longer declared");
-        return send(reply, Reply::Refused(gone(detail)));
+        return send(reply, Reply::Refused(stream_gone(detail)));
     };
     if work.token.stream.is_empty() {
         let detail = "the engine gave the stream no id";
-        return send(reply, Reply::Refused(gone(detail)));
+        return send(reply, Reply::Refused(stream_gone(detail)));
     }
     let options = run.node.read_options();
     let stream = work.token.stream.clone();
@@ -39,17 +39,17 @@
     sink.begin(work.text.clone());
     let mut progress = Progress::default();
     let orphan = Duration::from_millis(run.node.settings.orphan_ms);
-    let end = pass(&mut reader, &mut sink, &mut progress, orphan, || {}).await;
+    let end = forward_chunks(&mut reader, &mut sink, &mut progress, orphan, || {}).await;
     match end {
-        End::Whole(mut finished) => {
+        StreamEnd::Complete(mut finished) => {
             if finished.last.is_none() {
-                // The caller says that it has seen the last chunk; the charge doesn't
-                // depend on its word.
+                // The caller claims to have the last chunk. The charge must not depend on
+                // that claim, so the usage is read from the whole stream.
                 if progress.seen == 0 {
-                    finished.end = work.from;
+                    finished.end_number = work.from;
                 }
-                let mut whole = Reader::resuming(address, stream, 0, options);
-                finished.tokens = match read_usage(&mut whole).await {
+                let mut full = Reader::resuming(address, stream, 0, options);
+                finished.tokens = match read_usage(&mut full).await {
                     Some(usage) => crate::answer::tokens_run(usage),
                     None => finished.tokens,
                 };
@@ -57,8 +57,8 @@
             finish_resumed(&mut run, sink, finished).await;
             reader.finish().await;
         }
-        End::Orphaned => {}
-        End::Cut(error) => sink.fail(read_refusal(&error)).await,
+        StreamEnd::Orphaned => {}
+        StreamEnd::Failed(error) => sink.fail(read_refusal(&error)).await,
     }
 }
 
@@ -68,13 +68,13 @@
     finish(run, sink, finished, charged).await;
 }
 
-fn gone(detail: impl Into<String>) -> Refusal {
+fn stream_gone(detail: impl Into<String>) -> Refusal {
     Refusal::unknown(RefusalKind::StreamGone, detail)
 }
 
 fn read_refusal(error: &ReadError) -> Refusal {
     match error {
-        ReadError::Gone => gone(error.to_string()),
+        ReadError::Gone => stream_gone(error.to_string()),
         _ => Refusal::unknown(RefusalKind::ServerFailed, error.to_string())
             .with_retry(Duration::from_secs(1)),
     }
--- a/crates/router/src/retirement.rs
+++ b/crates/router/src/retirement.rs
@@ -1,7 +1,7 @@
-//! Tells in the log when this router's own VM is declared gone, and when no longer.
+//! Logs when this router's VM is declared gone and when that declaration is withdrawn.
 //!
-//! The router refuses callers as soon as it reads of it; what it runs comes to its end.
-//! Ledgers retire its memberships and refuse its joins while the statement stands.
+//! The router refuses callers as soon as it reads the declaration; requests in flight complete.
+//! While the declaration stands, ledgers retire its memberships and refuse its joins.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 
 use crate::node::Node;
 
-/// Looks at each new configuration until `stop`.
+/// Checks each new configuration until `stop`.
 pub async fn watch(node: Arc<Node>, stop: CancellationToken) {
     let mut versions = node.config.watch();
-    // One may have been published before.
+    // A version may have been published before this task started.
     versions.mark_changed();
     let mut known = false;
     loop {
@@ -23,17 +23,17 @@
         }
         let now = node.is_retired();
         if now != known {
-            tell(&node, now);
+            log_change(&node, now);
         }
         known = now;
     }
 }
 
-fn tell(node: &Node, retired: bool) {
+fn log_change(node: &Node, retired: bool) {
     let vm = &node.settings.common.vm;
     let version = node.config.load().version;
     if !retired {
-        event!(info, "router.taken-back", vm = vm, version = version);
+        event!(info, "router.reinstated", vm = vm, version = version);
         return;
     }
     event!(
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,4 +1,4 @@
-//! A running router process: what it starts, in which order, and the whole of it.
+//! A running router process: creates the shared state and starts the background tasks.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -28,31 +28,31 @@
 use crate::members::{Keeper, Members};
 use crate::node::Node;
 use crate::peers::Peers;
-use crate::serve::Surface;
+use crate::serve::CallerService;
 use crate::settings::Settings;
 use crate::{health, pings, retirement, stop, vms};
 
-/// Least worker threads of the callers' listener.
-const WORKERS_MIN: usize = 2;
-/// Most of them; a VM is small.
-const WORKERS_MAX: usize = 8;
-/// Time between looks at what may be forgotten.
+/// Smallest number of worker threads of the callers' listener.
+const MIN_WORKERS: usize = 2;
+/// Largest number of worker threads; router VMs are small.
+const MAX_WORKERS: usize = 8;
+/// Time between removals of expired keys.
 const FORGET_PERIOD: Duration = Duration::from_secs(10);
 
-/// A router while it runs.
+/// A running router.
 #[derive(Debug)]
 pub struct Router {
-    /// What its parts share.
+    /// Shared state.
     pub(crate) node: Arc<Node>,
     pub(crate) web: WebServer,
     pub(crate) admin: Admin,
-    /// Ends the work that keeps the router up to date.
+    /// Stops the background tasks that keep the state up to date.
     pub(crate) upkeep: CancellationToken,
-    /// Ends the claimers, before rights are returned.
+    /// Stops the claimers before unused quota is returned.
     pub(crate) claims: CancellationToken,
 }
 
-/// Runs a router until its shell is told to stop.
+/// Runs a router until the shell signals a stop.
 ///
 /// # Errors
 /// When an address can't be bound.
@@ -66,8 +66,8 @@
 }
 
 impl Router {
-    /// Binds the callers' address and starts everything. The address comes first:
-    /// holding it proves that no earlier incarnation is left at it.
+    /// Binds the callers' address and starts all tasks. The address is bound first, which proves
+    /// that no earlier incarnation still runs at it.
     ///
     /// # Errors
     /// When an address can't be bound.
@@ -82,10 +82,10 @@
         start_upkeep(&node, &upkeep);
         let dump = Arc::new(NodeDump::new(Arc::clone(&node)));
         let admin = Admin::bind(node.settings.common.admin, dump)?;
-        let surface = Surface {
+        let service = CallerService {
             node: Arc::clone(&node),
         };
-        let web = WebServer::bind(listener, limits(), Arc::new(surface))
+        let web = WebServer::bind(listener, limits(), Arc::new(service))
             .context("starting the callers' listener")?;
         Ok(Self {
             node,
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Callers' address, as bound.
+    /// Bound address of the callers' listener.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.node.address
@@ -104,9 +104,9 @@
 }
 
 fn limits() -> Limits {
-    let cores = std::thread::available_parallelism().map_or(WORKERS_MIN, usize::from);
+    let cores = std::thread::available_parallelism().map_or(MIN_WORKERS, usize::from);
     Limits {
-        workers: cores.clamp(WORKERS_MIN, WORKERS_MAX),
+        workers: cores.clamp(MIN_WORKERS, MAX_WORKERS),
         ..Limits::default()
     }
 }
@@ -147,7 +147,7 @@
         ms(settings.intent_wait_ms),
         upkeep.clone(),
     );
-    let past = RunHistory::new(settings.key_memory);
+    let history = RunHistory::new(settings.key_memory);
     let peers = Peers::new(
         runtime.clone(),
         tasks.clone(),
@@ -156,7 +156,7 @@
     );
     let settler = Settler::new(
         Arc::clone(&ledgers),
-        Arc::clone(&past),
+        Arc::clone(&history),
         runtime.clone(),
         shell.metrics.clone(),
         &settings,
@@ -169,7 +169,7 @@
         members: Members::new(settings.shards),
         claimers,
         keys: Keys::new(settings.key_window_ms, 0),
-        history: past,
+        history,
         peers,
         settler,
         intents,
@@ -177,7 +177,7 @@
         secret: TokenSecret::new(settings.common.secret.expose().as_bytes()),
         runtime,
         tasks,
-        late: TaskTracker::new(),
+        deferred: TaskTracker::new(),
         closing: CancellationToken::new(),
         stopping: AtomicBool::new(false),
         settings,
@@ -217,7 +217,7 @@
     }
     let wake = wake_claimers(Arc::clone(node), stop.clone());
     node.tasks.spawn_on(wake, spawn_on);
-    let load = vms::follow_load(
+    let load = vms::poll_load(
         ms(settings.report_ms),
         Arc::from(settings.service_load.as_str()),
         Arc::clone(&node.pools),
@@ -226,21 +226,21 @@
     node.tasks.spawn_on(load, spawn_on);
     if let Some(address) = settings.vms {
         let pools = Arc::clone(&node.pools);
-        let list = vms::follow_list(address, ms(settings.vms_ms), pools, stop.clone());
+        let list = vms::poll_list(address, ms(settings.vms_ms), pools, stop.clone());
         node.tasks.spawn_on(list, spawn_on);
     }
     let health = health::watch(Arc::clone(node), stop.clone());
     node.tasks.spawn_on(health, spawn_on);
     let declared = retirement::watch(Arc::clone(node), stop.clone());
     node.tasks.spawn_on(declared, spawn_on);
-    let forget = forget_old(Arc::clone(node), stop.clone());
+    let forget = remove_expired_keys(Arc::clone(node), stop.clone());
     node.tasks.spawn_on(forget, spawn_on);
 }
 
-/// Wakes the claimers of budgets in use at each new configuration.
+/// Wakes the claimers of all budgets in use on each new configuration.
 async fn wake_claimers(node: Arc<Node>, stop: CancellationToken) {
     let mut versions = node.config.watch();
-    // One may have been published before.
+    // A version may have been published before this task started.
     versions.mark_changed();
     loop {
         tokio::select! {
@@ -255,13 +255,13 @@
     }
 }
 
-async fn forget_old(node: Arc<Node>, stop: CancellationToken) {
+async fn remove_expired_keys(node: Arc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             () = sleep(FORGET_PERIOD) => {}
         }
-        // Twice the window: no router takes a key of that age.
+        // Every router refuses keys older than twice the window.
         let window = node.settings.key_window_ms.saturating_mul(2);
         let floor = wall_ms().saturating_sub(window);
         node.intents.forget(floor);
@@ -269,7 +269,7 @@
     }
 }
 
-/// Sets the subsets of routers on different VMs apart.
+/// Derives the seed from the VM name, so that routers on different VMs choose different subsets.
 fn seed_of(vm: &str) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,7 +1,7 @@
-//! The way of one admitted request: rights, intent, run, answer.
+//! Serves one admitted request: reserves quota, records the intent, runs the request and answers.
 //!
-//! A request runs in a task of its own, on the thread of its caller's connection, so
-//! that it goes on to its charge when the caller disconnects.
+//! Each request runs in its own task on the thread of its caller's connection, so that it is
+//! still charged if the caller disconnects.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -23,45 +23,45 @@
 use crate::call::{Call, Work};
 use crate::charge::{Carrier, Cost};
 use crate::dispatch::Attempt;
-use crate::history::{Past, WholeRun, digest};
+use crate::history::{CompletedRun, KeyStatus, digest};
 use crate::intent::{Spent, lost};
 use crate::members::Stay;
 use crate::node::Node;
 use crate::record::{self, Record};
-use crate::relay::Relayed;
+use crate::relay::RelayResult;
 use crate::reply::{Reply, ReplySender};
 use crate::{health, model, problem, relay, repeat, resume, service, surface};
 
-/// When to come back to a router that has not joined the budget's stream yet.
+/// Retry time while the router has not joined the budget's stream.
 const JOIN_RETRY: Duration = Duration::from_secs(1);
-/// When to come back while the log is out.
+/// Retry time while the log is unavailable.
 const LOG_RETRY: Duration = Duration::from_secs(2);
 
-/// Answers the callers' requests.
+/// HTTP service for callers.
 #[derive(Debug)]
-pub struct Surface {
-    /// What the router's parts share.
+pub struct CallerService {
+    /// Shared state of the router.
     pub node: Arc<Node>,
 }
 
 #[async_trait(?Send)]
-impl Service for Surface {
+impl Service for CallerService {
     async fn call(&self, mut request: Incoming) -> Response {
         if request.method() == Method::GET && request.uri().path() == health::PATH {
             return health::respond(&self.node);
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let call = match admit(&self.node, &mut request).await {
             Ok(call) => call,
             Err(refusal) => {
                 count_refusal(&self.node, &refusal);
                 let headers = request.headers();
                 let key = surface::key(headers).ok().flatten();
-                record::refused(&refusal, key, || workspace_of(&self.node, headers), begun);
+                record::refused(&refusal, key, || workspace_of(&self.node, headers), started);
                 return problem::respond(&refusal, None);
             }
         };
-        let record = Record::new(&call, begun);
+        let record = Record::new(&call, started);
         let key = call.key();
         let workspace = call.workspace().clone();
         let is_resumption = call.is_resumption();
@@ -89,14 +89,14 @@
             }
             other => other,
         };
-        record.answer(&reply);
+        record.set_head(&reply);
         reply.into_response(key)
     }
 }
 
-impl Surface {
-    /// Waits shortly until the log has freed the key of a request that was not run, so
-    /// that its caller, who will go to another router, isn't told that a run may exist.
+impl CallerService {
+    /// Waits briefly until the log has released the key of a request that was not run.
+    /// Otherwise the next router that the caller tries may report that a run may exist.
     async fn free(
         &self,
         task: JoinHandle<()>,
@@ -111,7 +111,7 @@
         let left = deadline.saturating_duration_since(Instant::now());
         let limit = Duration::from_millis(node.settings.abandon_wait_ms).min(left / 2);
         let free = async {
-            // The intent is given up when the task ends.
+            // The intent is abandoned when the task ends.
             let _ended = task.await;
             node.intents.freed(workspace, key).await;
         };
@@ -119,7 +119,7 @@
     }
 }
 
-/// Workspace that a request which was not admitted speaks for.
+/// Workspace of a request that was not admitted, by its API key.
 fn workspace_of(node: &Node, headers: &HeaderMap) -> Option<WorkspaceName> {
     let secret = surface::bearer(headers).ok()?;
     let sender = authenticate(&node.config.load(), secret, false);
@@ -134,12 +134,12 @@
     node.metrics.count_with("request.refused", 1, &tags);
 }
 
-/// The rights of one request, and the incarnation that holds them.
+/// Quota reserved for one request, and the membership that holds it.
 #[derive(Debug)]
-pub struct Holding {
-    /// Work under way on the incarnation.
+pub struct HeldQuota {
+    /// Keeps the membership in use for the request.
     pub seat: Stay,
-    /// The rights, until a dispatch takes them over.
+    /// Reserved quota, until a dispatch takes it over.
     pub reservation: Reservation,
 }
 
@@ -148,42 +148,42 @@
     let is_run = !call.is_resumption();
     let digest = if is_run { digest(&call.original) } else { 0 };
     if is_run {
-        match node.history.look(&call.key_use, digest) {
-            Past::Open => {}
-            Past::Whole(whole) => {
-                record.pass();
-                return repeat::run(&node, call, whole, reply).await;
+        match node.history.status(&call.key_use, digest) {
+            KeyStatus::Runnable => {}
+            KeyStatus::Complete(completed) => {
+                record.mark_passed();
+                return repeat::run(&node, call, completed, reply).await;
             }
-            Past::Reused => return send(reply, Reply::Refused(repeat::reused())),
-            Past::Charged => return send(reply, Reply::Refused(repeat::charged())),
+            KeyStatus::Reused => return send(reply, Reply::Refused(repeat::reused())),
+            KeyStatus::Charged => return send(reply, Reply::Refused(repeat::charged())),
         }
     }
-    match spent(&node, &call) {
+    match previous_outcome(&node, &call) {
         None => {}
         Some(Spent::Dispatched) => return send(reply, Reply::Refused(lost(false))),
         Some(Spent::Abandoned) => {
-            record.pass();
-            let origin = relay::Origin {
+            record.mark_passed();
+            let relayer = relay::Relayer {
                 node: &node,
                 call: &call,
             };
-            return origin.relay_or_refuse(Vec::new(), given_up(), reply).await;
+            return relayer
+                .relay_or_refuse(Vec::new(), abandoned(), reply)
+                .await;
         }
     }
-    let holding = match hold(&node, &call, Turn::First).await {
-        Ok(holding) => holding,
-        Err(shortage) => match relay_or_hold(&node, &call, shortage, reply).await {
-            Got::Rights(holding, back) => {
+    let held = match reserve(&node, &call, Phase::First).await {
+        Ok(held) => held,
+        Err(shortage) => match relay_or_reserve(&node, &call, shortage, reply).await {
+            QuotaResult::Reserved(held, back) => {
                 reply = back;
-                holding
+                held
             }
-            Got::Answered => return record.pass(),
-            Got::Refused(refusal, back) => return send(back, Reply::Refused(refusal)),
+            QuotaResult::Answered => return record.mark_passed(),
+            QuotaResult::Refused(refusal, back) => return send(back, Reply::Refused(refusal)),
         },
     };
-    let (seat, rights) = holding
-        .map(|holding| (holding.seat, holding.reservation))
-        .unzip();
+    let (seat, rights) = held.map(|held| (held.seat, held.reservation)).unzip();
     let mut attempt = Attempt {
         rights,
         past: is_run.then(|| node.history.begin(&call.key_use, digest)),
@@ -194,7 +194,7 @@
             return send(reply, Reply::Refused(not_joined()));
         };
         if node.config.is_log_silent() {
-            return send(reply, Reply::Refused(log_out()));
+            return send(reply, Reply::Refused(log_unavailable()));
         }
         let won = node
             .intents
@@ -220,20 +220,20 @@
     }
 }
 
-/// Puts an answer; the caller may have gone.
+/// Sends a reply; the caller may have disconnected.
 pub fn send(sender: ReplySender, reply: Reply) {
     let _gone = sender.send(reply);
 }
 
-/// What this process has done before with the run of a request that must not repeat.
-fn spent(node: &Node, call: &Call) -> Option<Spent> {
+/// Returns what this process did earlier with a non-idempotent request of the same key.
+fn previous_outcome(node: &Node, call: &Call) -> Option<Spent> {
     if !call.once {
         return None;
     }
     node.intents.spent(&call.key_use)
 }
 
-fn given_up() -> Refusal {
+fn abandoned() -> Refusal {
     let detail = "this router has given the key up; another router may run it";
     Refusal::unknown(RefusalKind::KeyInUse, detail).with_retry(JOIN_RETRY)
 }
@@ -243,55 +243,60 @@
     Refusal::not_run(RefusalKind::Unavailable, detail).with_retry(JOIN_RETRY)
 }
 
-fn log_out() -> Refusal {
+fn log_unavailable() -> Refusal {
     let detail = "the log is out, and the request must be recorded there before it runs";
     Refusal::not_run(RefusalKind::LogOut, detail).with_retry(LOG_RETRY)
 }
 
-/// What a request that found no rights came to.
-enum Got {
-    /// Rights here after all.
-    Rights(Option<Holding>, ReplySender),
-    /// An answer by way of a peer.
+/// Result of relaying a request that had no quota here.
+enum QuotaResult {
+    /// Quota was reserved here after the relay ran nothing.
+    Reserved(Option<HeldQuota>, ReplySender),
+    /// The relay sent the reply.
     Answered,
-    /// Nothing.
+    /// Neither a peer nor this router can serve it.
     Refused(Refusal, ReplySender),
 }
 
-/// Relays a request that found no rights; where that certainly ran nothing, and rights
-/// were expected there, what is free in the budget may still serve it here.
-async fn relay_or_hold(node: &Node, call: &Call, shortage: Shortage, reply: ReplySender) -> Got {
+/// Relays a request that had no quota here. If no peer ran it although quota was expected there,
+/// free tokens of the budget may still serve it here.
+async fn relay_or_reserve(
+    node: &Node,
+    call: &Call,
+    shortage: Shortage,
+    reply: ReplySender,
+) -> QuotaResult {
     let Shortage { refusal, holders } = shortage;
     let had_holders = !holders.is_empty();
-    let origin = relay::Origin { node, call };
-    let reply = match origin.relay(holders, &refusal, reply).await {
-        Relayed::Answered => return Got::Answered,
-        Relayed::Nowhere(reply) => reply,
+    let relayer = relay::Relayer { node, call };
+    let reply = match relayer.relay(holders, &refusal, reply).await {
+        RelayResult::Answered => return QuotaResult::Answered,
+        RelayResult::NotRun(reply) => reply,
     };
     if !had_holders {
-        return Got::Refused(refusal, reply);
+        return QuotaResult::Refused(refusal, reply);
     }
-    match hold(node, call, Turn::AfterRelay).await {
-        Ok(holding) => Got::Rights(holding, reply),
-        Err(shortage) => Got::Refused(shortage.refusal, reply),
+    match reserve(node, call, Phase::AfterRelay).await {
+        Ok(held) => QuotaResult::Reserved(held, reply),
+        Err(shortage) => QuotaResult::Refused(shortage.refusal, reply),
     }
 }
 
-/// When a request asks for rights.
+/// When a request asks for quota.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Turn {
+enum Phase {
     First,
     AfterRelay,
 }
 
-/// Reserves the bound of the call's cost; `None` when it is free and needs no log.
-async fn hold(node: &Node, call: &Call, turn: Turn) -> Result<Option<Holding>, Shortage> {
+/// Reserves the upper bound of the call's cost; `None` if it is free and needs no intent.
+async fn reserve(node: &Node, call: &Call, phase: Phase) -> Result<Option<HeldQuota>, Shortage> {
     if call.bound == 0 && !call.once {
         return Ok(None);
     }
     let joined = node.members.seat(&call.budget);
     let Some(seat) = joined.and_then(|seat| seat.enter()) else {
-        return Err(none_here());
+        return Err(no_membership());
     };
     let account = seat.open(&call.budget, &node.claimers);
     let policy = WaitPolicy {
@@ -300,46 +305,45 @@
         pause: Duration::from_millis(node.settings.claim_pause_ms),
         has_log: !node.config.is_log_silent(),
     };
-    let reservation = match turn {
-        Turn::First => account.obtain(call.bound, policy, !call.relayed).await?,
-        Turn::AfterRelay => account.obtain_here(call.bound, policy).await?,
+    let reservation = match phase {
+        Phase::First => account.obtain(call.bound, policy, !call.relayed).await?,
+        Phase::AfterRelay => account.obtain_here(call.bound, policy).await?,
     };
     if seat.is_retired() {
-        // Meanwhile; nothing new is begun on rights that are in quarantine.
-        return Err(none_here());
+        // Retired while waiting: quota of a retired membership is quarantined and must not be used.
+        return Err(no_membership());
     }
-    Ok(Some(Holding { seat, reservation }))
+    Ok(Some(HeldQuota { seat, reservation }))
 }
 
-/// No rights can be held here now.
-fn none_here() -> Shortage {
+/// Shortage of a router that can reserve no quota now.
+fn no_membership() -> Shortage {
     Shortage {
         refusal: not_joined(),
         holders: Vec::new(),
     }
 }
 
-/// A request that has its rights.
+/// A request with its reserved quota.
 #[derive(Debug)]
 pub struct Run {
-    /// What the router's parts share.
+    /// Shared state of the router.
     pub node: Arc<Node>,
     /// The request.
     pub call: Call,
-    /// Incarnation that holds its rights; `None` when it costs nothing.
+    /// Membership that holds its quota; `None` if the request is free.
     pub seat: Option<Stay>,
-    /// Rights, intent and the dispatches so far.
+    /// Quota, intent and the dispatches so far.
     pub attempt: Attempt,
-    /// What the log gets to read; gone once the line is written.
+    /// Log record; dropped once its line is written.
     pub record: Weak<Record>,
-    /// Its charge, which is followed once the run is dropped.
+    /// The submitted charge, which is followed up once the run is dropped.
     pub carrier: Option<Carrier>,
 }
 
 impl Run {
-    /// Charges `tokens` run, once; the answer is what the key is charged, by this run
-    /// or by one before. Returns once the charge is stored in another failure domain, or
-    /// after the wait for it.
+    /// Charges `tokens` once, and returns the charge of the key, by this run or an earlier one.
+    /// Waits until the charge is stored in another failure domain or the wait times out.
     pub async fn charge(&mut self, tokens: Tokens) -> Tokens {
         let (Some(seat), Some(rights)) = (&self.seat, self.attempt.rights.take()) else {
             return 0;
@@ -364,18 +368,18 @@
         charged
     }
 
-    /// Notes that the answer came to its end.
-    pub fn whole(&self) {
+    /// Marks the answer as complete in the log record.
+    pub fn mark_complete(&self) {
         if let Some(record) = self.record.upgrade() {
-            record.whole();
+            record.mark_complete();
         }
     }
 
-    /// Remembers that the answer was whole, for a repeat of the request.
+    /// Records the complete answer, so that it can be repeated.
     pub fn remember(&self, server: Option<ServerName>, stream: Option<&str>, charged: Tokens) {
-        self.whole();
+        self.mark_complete();
         if let Some(past) = &self.attempt.past {
-            past.whole(WholeRun {
+            past.complete(CompletedRun {
                 server,
                 stream: stream.map(str::to_owned),
                 charged,
@@ -383,7 +387,7 @@
         }
     }
 
-    /// What a charge for `tokens` run says.
+    /// Builds the charge for `tokens`.
     #[must_use]
     pub fn charge_of(&self, tokens: Tokens, cost: Tokens) -> Cost {
         Cost {
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: passed on, charged at the pool's price for a call.
+//! Calls of plain services: forwarded, and charged at the pool's price per call.
 
 use http_body_util::Full;
 use swiftlink_routing::ErrorKind;
@@ -8,14 +8,14 @@
 use crate::engine;
 use crate::fleet::Target;
 use crate::forward::{end_to_end, for_server, pass_body};
-use crate::reply::{Reply, ReplySender, pieces};
+use crate::reply::{Reply, ReplySender, channel};
 use crate::serve::{Run, send};
 use crate::sink::set_charged;
 
-/// Calls the service and passes its answer on.
+/// Calls the service and forwards its answer.
 ///
-/// The charge is stored before the head is released: with an answer's head the call
-/// has run, and its price is fixed.
+/// The charge is stored before the head of the answer is released: once the head has arrived,
+/// the call has run, and its price is fixed.
 pub async fn run(mut run: Run, reply: ReplySender) {
     let Work::Service(work) = run.call.work.clone() else {
         return;
@@ -53,8 +53,8 @@
     let (parts, body) = response.into_parts();
     let mut headers = end_to_end(&parts.headers);
     set_charged(&mut headers, charged);
-    let (sender, receiver) = pieces();
-    send(reply, Reply::Pieces(parts.status, headers, receiver));
+    let (sender, receiver) = channel();
+    send(reply, Reply::Stream(parts.status, headers, receiver));
     if pass_body(body, &mut lease, &sender).await {
         slot.served();
         target.done();
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -10,105 +10,105 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Settings that every daemon has.
+    /// Settings common to all daemons.
     #[serde(flatten)]
     pub common: Common,
     /// Address of the callers' listener.
     pub listen: SocketAddr,
-    /// VM list of the platform; without it only the resources and the backend
-    /// servers' own answers say which of them leave.
+    /// Address of the platform's VM list. Without it, the router learns which backend servers
+    /// leave only from the resources and from the servers' own answers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub vms: Option<SocketAddr>,
-    /// Number of budget streams; the same for the whole fleet.
-    #[serde(default = "d::shards")]
+    /// Number of budget streams; must be the same in the whole fleet.
+    #[serde(default = "defaults::shards")]
     pub shards: u32,
-    /// Longest body of a request (bytes).
-    #[serde(default = "d::body_limit")]
+    /// Largest request body (bytes).
+    #[serde(default = "defaults::body_limit")]
     pub body_limit: usize,
-    /// Time that a request may take when the caller sets no deadline.
-    #[serde(default = "d::deadline_ms")]
+    /// Time limit of a request whose caller sets no deadline.
+    #[serde(default = "defaults::deadline_ms")]
     pub deadline_ms: u64,
     /// Age over which the configuration counts as stale.
-    #[serde(default = "d::stale_ms")]
+    #[serde(default = "defaults::stale_ms")]
     pub stale_ms: u64,
-    /// Most ledgers asked in one second whether the log is out for them too. A fleet
-    /// with more than twice as many goes by the age of the configuration alone.
-    #[serde(default = "d::ping_sample")]
+    /// Largest number of ledgers pinged per second to learn whether they can reach the log. In a
+    /// fleet with more than twice as many, only the age of the configuration counts.
+    #[serde(default = "defaults::ping_sample")]
     pub ping_sample: usize,
     /// Age over which a request key is refused.
-    #[serde(default = "d::key_window_ms")]
+    #[serde(default = "defaults::key_window_ms")]
     pub key_window_ms: u64,
-    /// Keys that the router remembers to have dispatched.
-    #[serde(default = "d::key_memory")]
+    /// Number of dispatched keys kept in the history.
+    #[serde(default = "defaults::key_memory")]
     pub key_memory: usize,
-    /// Time between marks of settled keys.
-    #[serde(default = "d::mark_ms")]
+    /// Time between two marks of settled keys.
+    #[serde(default = "defaults::mark_ms")]
     pub mark_ms: u64,
-    /// Longest wait of a request for a claim of rights.
-    #[serde(default = "d::claim_wait_ms")]
+    /// Longest wait of a request for a claim of quota.
+    #[serde(default = "defaults::claim_wait_ms")]
     pub claim_wait_ms: u64,
-    /// Time for which an empty budget's answer stands before the log is asked again.
-    #[serde(default = "d::claim_pause_ms")]
+    /// Backoff between claims after the log answered that the budget is empty.
+    #[serde(default = "defaults::claim_pause_ms")]
     pub claim_pause_ms: u64,
-    /// Longest wait of a non-idempotent request for its intent.
-    #[serde(default = "d::intent_wait_ms")]
+    /// Longest wait of a non-idempotent request for its intent to be recorded.
+    #[serde(default = "defaults::intent_wait_ms")]
     pub intent_wait_ms: u64,
-    /// Longest wait of a refusal for the log to free the key that it had reserved.
-    #[serde(default = "d::abandon_wait_ms")]
+    /// Longest time for which a refusal waits until the log has released the reserved key.
+    #[serde(default = "defaults::abandon_wait_ms")]
     pub abandon_wait_ms: u64,
-    /// Time that one ledger gets to decide a record before another is asked.
-    #[serde(default = "d::ledger_try_ms")]
+    /// Longest wait for one ledger to decide a record before another is tried.
+    #[serde(default = "defaults::ledger_try_ms")]
     pub ledger_try_ms: u64,
-    /// Longest wait of an answer's end for a ledger to store the charge.
-    #[serde(default = "d::settle_wait_ms")]
+    /// Longest time for which the end of an answer waits until a ledger has stored the charge.
+    #[serde(default = "defaults::settle_wait_ms")]
     pub settle_wait_ms: u64,
-    /// Time after which a stored but undecided charge goes to another ledger too.
-    #[serde(default = "d::settle_retry_ms")]
+    /// Time after which a stored but undecided charge is also sent to another ledger.
+    #[serde(default = "defaults::settle_retry_ms")]
     pub settle_retry_ms: u64,
-    /// Time between reads of the backend servers' load.
-    #[serde(default = "d::report_ms")]
+    /// Time between polls of the backend servers' load.
+    #[serde(default = "defaults::report_ms")]
     pub report_ms: u64,
-    /// Time between reads of the VM list.
-    #[serde(default = "d::vms_ms")]
+    /// Time between polls of the VM list.
+    #[serde(default = "defaults::vms_ms")]
     pub vms_ms: u64,
-    /// Longest time for a connection to a backend server or peer.
-    #[serde(default = "d::connect_ms")]
+    /// Timeout of a connection to a backend server or peer.
+    #[serde(default = "defaults::connect_ms")]
     pub connect_ms: u64,
-    /// Time between signs of life asked of a peer router that a relayed request waits
-    /// for, and the longest wait for one; a peer that gives none twice is given up.
-    #[serde(default = "d::peer_ms")]
+    /// Period and timeout of the probes of a peer router that a relayed request waits for; after
+    /// two unanswered probes in a row the peer is given up.
+    #[serde(default = "defaults::peer_ms")]
     pub peer_ms: u64,
-    /// Silence of an engine in mid-answer after which the stream is resumed.
-    #[serde(default = "d::stall_ms")]
+    /// Silence of an engine during an answer after which the stream is resumed.
+    #[serde(default = "defaults::stall_ms")]
     pub stall_ms: u64,
-    /// Time for which an engine that can't be reached in mid-answer is tried again.
-    #[serde(default = "d::resume_ms")]
+    /// Time for which an engine that became unreachable during an answer is retried.
+    #[serde(default = "defaults::resume_ms")]
     pub resume_ms: u64,
-    /// Time that an answer runs on after its caller has gone, for a resumption.
-    #[serde(default = "d::orphan_ms")]
+    /// Time for which an answer runs on after its caller disconnected, so that it can be resumed.
+    #[serde(default = "defaults::orphan_ms")]
     pub orphan_ms: u64,
-    /// Time after which a cut answer's partial charge is sent, unless its key is charged before.
-    #[serde(default = "d::partial_ms")]
+    /// Time after which an interrupted answer is charged in part, unless its key is charged before.
+    #[serde(default = "defaults::partial_ms")]
     pub partial_ms: u64,
-    /// Limit of a planned stop.
-    #[serde(default = "d::stop_ms")]
+    /// Time limit of a graceful shutdown.
+    #[serde(default = "defaults::stop_ms")]
     pub stop_ms: u64,
-    /// Path of a plain service's load report; empty: services report none.
-    #[serde(default = "d::service_load")]
+    /// Path of the load report of plain services; empty if they have none.
+    #[serde(default = "defaults::service_load")]
     pub service_load: String,
-    /// Backend servers of one pool whose load this router follows; the rest
-    /// gets no work from it.
-    #[serde(default = "d::subset")]
+    /// Number of backend servers of one pool that this router polls and sends requests to; the
+    /// others get no work from it.
+    #[serde(default = "defaults::subset")]
     pub subset: usize,
-    /// Ledgers of the fleet.
+    /// All ledgers of the fleet.
     pub ledgers: Vec<LinkPeer>,
-    /// Other routers (callers' addresses), for relaying.
+    /// Other routers, by their addresses for callers, as targets of relayed requests.
     #[serde(default)]
     pub peers: Vec<LinkPeer>,
 }
 
 /// Default values.
-mod d {
+mod defaults {
     pub(super) fn shards() -> u32 {
         4
     }
@@ -190,7 +190,7 @@
 }
 
 /// Largest number of budget streams.
-const SHARDS_MAX: u32 = 4_096;
+const MAX_SHARDS: u32 = 4_096;
 
 impl swiftlink_settings::Settings for Settings {
     fn common(&self) -> &Common {
@@ -198,8 +198,8 @@
     }
 
     fn check(&self) -> Result<(), CheckError> {
-        if self.shards == 0 || self.shards > SHARDS_MAX {
-            let detail = format!("must be from 1 to {SHARDS_MAX}");
+        if self.shards == 0 || self.shards > MAX_SHARDS {
+            let detail = format!("must be from 1 to {MAX_SHARDS}");
             return Err(CheckError::new("shards", detail));
         }
         if self.ledgers.is_empty() {
@@ -207,7 +207,7 @@
         }
         check_peers("ledgers", &self.ledgers)?;
         check_peers("peers", &self.peers)?;
-        for (key, value) in self.periods() {
+        for (key, value) in self.positive_times() {
             if value == 0 {
                 return Err(CheckError::new(key, "must be more than 0"));
             }
@@ -229,7 +229,7 @@
 }
 
 impl Settings {
-    fn periods(&self) -> [(&'static str, u64); 12] {
+    fn positive_times(&self) -> [(&'static str, u64); 12] {
         [
             ("deadline_ms", self.deadline_ms),
             ("stale_ms", self.stale_ms),
@@ -252,13 +252,13 @@
         Duration::from_millis(self.stale_ms)
     }
 
-    /// Time that one ledger gets to decide a record.
+    /// Longest wait for one ledger to decide a record.
     #[must_use]
     pub fn ledger_try(&self) -> Duration {
         Duration::from_millis(self.ledger_try_ms)
     }
 
-    /// Longest time for a connection to a backend server or peer.
+    /// Timeout of a connection to a backend server or peer.
     #[must_use]
     pub fn connect(&self) -> Duration {
         Duration::from_millis(self.connect_ms)
--- a/crates/router/src/settle_late.rs
+++ b/crates/router/src/settle_late.rs
@@ -1,9 +1,9 @@
-//! Charges of answers that were cut before their end.
+//! Deferred charges of answers that were interrupted before their end.
 //!
-//! The caller was told that the outcome is unknown and may come back with the same
-//! key, here or elsewhere; whichever run ends first is charged. So the charge of
-//! the part waits: first for the engine, which may still tell how the run ended,
-//! and then for the time in which the caller is expected back.
+//! The caller got the outcome "unknown" and may retry with the same key, here or at another
+//! router; the run that ends first is charged. The partial charge is therefore deferred: first
+//! until the engine reports how the run ended, otherwise until the time in which a retry is
+//! expected has passed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,27 +16,28 @@
 use crate::reader::{ReadError, Reader};
 use crate::serve::Run;
 
-/// Pause between tries to reach the engine.
-const TRY_PAUSE: Duration = Duration::from_secs(1);
+/// Pause between attempts to reach the engine.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// What is left of a cut answer.
+/// An answer that was interrupted before its end.
 #[derive(Debug, Clone)]
-pub struct Leftover {
+pub struct InterruptedAnswer {
     /// Address of the engine that ran it.
     pub address: SocketAddr,
     /// The engine's id of the stream.
     pub stream: Option<String>,
-    /// Chunks that were seen of it.
+    /// Number of chunks received.
     pub seen: Tokens,
 }
 
-/// Charges the cut answer of `run` in the background.
-pub fn settle_late(run: Run, leftover: Leftover) {
+/// Charges the interrupted answer of `run` in the background.
+pub fn settle_late(run: Run, interrupted: InterruptedAnswer) {
     let node = std::sync::Arc::clone(&run.node);
-    node.late.spawn_on(work(run, leftover), &node.runtime);
+    node.deferred
+        .spawn_on(settle(run, interrupted), &node.runtime);
 }
 
-async fn work(run: Run, leftover: Leftover) {
+async fn settle(run: Run, interrupted: InterruptedAnswer) {
     let Run {
         node,
         call,
@@ -51,12 +52,12 @@
     let price = call.class.price;
     let bound = call.bound;
     let options = node.read_options();
-    // The key is free for the caller's retry from here on.
+    // Releases the key for the caller's retry.
     drop(call);
     let until = Instant::now() + Duration::from_millis(node.settings.partial_ms);
     let usage = tokio::select! {
         () = node.closing.cancelled() => None,
-        usage = timeout_at(until, usage_of(&leftover, options)) => usage.ok().flatten(),
+        usage = timeout_at(until, usage_of(&interrupted, options)) => usage.ok().flatten(),
     };
     let is_known = usage.is_some();
     if !is_known {
@@ -65,7 +66,7 @@
             () = tokio::time::sleep_until(until) => {}
         }
     }
-    let tokens = usage.unwrap_or(leftover.seen);
+    let tokens = usage.unwrap_or(interrupted.seen);
     let cost = swiftlink_types::cost(tokens, price).min(bound);
     let (Some(seat), Some(rights)) = (seat, attempt.rights) else {
         return;
@@ -84,18 +85,22 @@
         rights.settle(cost);
         return;
     }
-    // How far the engine ran isn't known: the rest of the rights stays out of use,
-    // since tokens that may have run must not be handed out again.
+    // It is unknown how far the engine ran. The rest of the reserved quota is stranded, since
+    // tokens that may have run must not be granted again.
     node.metrics
         .count("grant.stranded", rights.amount().saturating_sub(cost));
     drop(rights);
 }
 
-/// Tokens that the engine says it ran, once it can be reached and the run has ended.
-async fn usage_of(leftover: &Leftover, options: crate::reader::ReadOptions) -> Option<Tokens> {
-    let stream = leftover.stream.clone()?;
+/// Returns the tokens that the engine reports, once it can be reached and the run has ended;
+/// `None` if the engine no longer has the stream.
+async fn usage_of(
+    interrupted: &InterruptedAnswer,
+    options: crate::reader::ReadOptions,
+) -> Option<Tokens> {
+    let stream = interrupted.stream.clone()?;
     loop {
-        let mut reader = Reader::resuming(leftover.address, stream.clone(), 0, options);
+        let mut reader = Reader::resuming(interrupted.address, stream.clone(), 0, options);
         match reader.open().await {
             Ok(()) => {
                 if let Some(usage) = read_usage(&mut reader).await {
@@ -105,6 +110,6 @@
             Err(ReadError::Gone) => return None,
             Err(_) => {}
         }
-        sleep(TRY_PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/router/src/sink.rs
+++ b/crates/router/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where the chunks of a model's answer go: to the caller as events, or into a whole.
+//! Sinks for the chunks of a model's answer: events to the caller, or one collected body.
 
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
@@ -9,22 +9,22 @@
 
 use crate::answer::{self, Receipt, Whole};
 use crate::problem::CHARGED_HEADER;
-use crate::reply::{Piece, Reply, ReplySender, pieces};
+use crate::reply::{Piece, Reply, ReplySender, channel};
 use crate::serve::send;
 
-/// Takes the chunks of one answer in order.
+/// Receives the chunks of one answer in order.
 #[derive(Debug)]
 pub enum Sink {
-    /// The caller gets each chunk as it comes.
+    /// Streams each chunk to the caller as it arrives.
     Events(Events),
-    /// The caller gets a whole answer.
-    Collect(Collect),
+    /// Collects the chunks into one body.
+    Collect(Collector),
 }
 
 /// A streamed answer.
 #[derive(Debug)]
 pub struct Events {
-    /// Kept until the first chunk, so that a failure before it has its own status.
+    /// Unused until the first chunk, so that an earlier failure gets its own status code.
     reply: Option<ReplySender>,
     sender: mpsc::Sender<Piece>,
     receiver: Option<mpsc::Receiver<Piece>>,
@@ -33,21 +33,21 @@
     sent: u64,
 }
 
-/// A whole answer in the making.
+/// An answer that is being collected.
 #[derive(Debug)]
-pub struct Collect {
+pub struct Collector {
     reply: Option<ReplySender>,
-    whole: AnswerBuilder,
+    builder: AnswerBuilder,
     id: String,
     model: String,
     chat: bool,
 }
 
 impl Sink {
-    /// A sink that streams.
+    /// Creates a sink that streams.
     #[must_use]
     pub fn events(reply: ReplySender) -> Self {
-        let (sender, receiver) = pieces();
+        let (sender, receiver) = channel();
         Self::Events(Events {
             reply: Some(reply),
             sender,
@@ -58,27 +58,27 @@
         })
     }
 
-    /// A sink that collects.
+    /// Creates a sink that collects.
     #[must_use]
     pub fn collect(reply: ReplySender, model: &str, chat: bool) -> Self {
-        Self::Collect(Collect {
+        Self::Collect(Collector {
             reply: Some(reply),
-            whole: AnswerBuilder::default(),
+            builder: AnswerBuilder::default(),
             id: String::new(),
             model: model.to_owned(),
             chat,
         })
     }
 
-    /// A new dispatch begins; `token` resumes its stream.
+    /// Begins the stream of a new dispatch; `token` resumes it.
     pub fn begin(&mut self, token: String) {
         match self {
             Self::Events(events) => events.token = token,
-            Self::Collect(collect) => collect.whole = AnswerBuilder::default(),
+            Self::Collect(collect) => collect.builder = AnswerBuilder::default(),
         }
     }
 
-    /// Takes a chunk that is not the last one.
+    /// Accepts a chunk that is not the last one.
     pub async fn push(&mut self, number: u64, data: &str) {
         match self {
             Self::Events(events) => {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether the caller has gone.
+    /// Whether the caller has disconnected.
     #[must_use]
     pub fn is_gone(&self) -> bool {
         match self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether the caller may have seen a part of the answer.
+    /// Whether the caller may have received a part of the answer.
     #[must_use]
     pub fn has_sent(&self) -> bool {
         match self {
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Ends the answer, which is charged: its last chunk, if it was kept back, and
-    /// the end mark `end`.
+    /// Ends an answer after its charge: sends the last chunk, if it was held back, and the end
+    /// marker with number `end`.
     pub async fn finish(self, last: Option<LastChunk>, end: u64, receipt: Receipt) {
         match self {
             Self::Events(events) => events.finish(last, end, receipt).await,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Ends an answer that can't be completed.
+    /// Ends an answer that can't be completed with an error.
     pub async fn fail(self, refusal: Refusal) {
         match self {
             Self::Events(events) => events.fail(refusal).await,
@@ -132,14 +132,14 @@
     }
 }
 
-/// The last chunk of an answer, kept back until the answer is charged.
+/// The last chunk of an answer, held back until the answer is charged.
 #[derive(Debug, Clone)]
 pub struct LastChunk {
-    /// Its number.
+    /// Number of the chunk.
     pub number: u64,
-    /// Its data.
+    /// Data as received.
     pub data: String,
-    /// What it says.
+    /// Parsed data.
     pub part: Completion,
 }
 
@@ -148,7 +148,7 @@
         if let (Some(reply), Some(receiver)) = (self.reply.take(), self.receiver.take()) {
             send(
                 reply,
-                Reply::Pieces(StatusCode::OK, stream_headers(), receiver),
+                Reply::Stream(StatusCode::OK, stream_headers(), receiver),
             );
         }
         if self.gone {
@@ -175,13 +175,13 @@
         }
         let piece = answer::error(&refusal);
         self.put(piece).await;
-        // Cuts the connection: a caller must not take the part for the whole.
+        // Closes the connection early: a caller must not mistake the part for a complete answer.
         let cut = std::io::Error::other(refusal.detail);
         let _gone = self.sender.send(Err(cut)).await;
     }
 }
 
-impl Collect {
+impl Collector {
     fn add(&mut self, data: &str) {
         let Ok(StreamEvent::Part(part)) = parse_event(data.as_bytes()) else {
             return;
@@ -193,7 +193,7 @@
         if self.id.is_empty() {
             self.id.clone_from(&part.id);
         }
-        self.whole.add(part);
+        self.builder.add(part);
     }
 
     fn finish(mut self, last: Option<LastChunk>, receipt: Receipt) {
@@ -203,7 +203,7 @@
         let Some(reply) = self.reply.take() else {
             return;
         };
-        let ended = self.whole.finish().unwrap_or_default();
+        let ended = self.builder.finish().unwrap_or_default();
         let whole = Whole {
             id: self.id,
             model: self.model,
@@ -215,19 +215,18 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         set_charged(&mut headers, receipt.charged);
         let body = answer::whole(&whole, receipt);
-        send(reply, Reply::Whole(StatusCode::OK, headers, body));
+        send(reply, Reply::Complete(StatusCode::OK, headers, body));
     }
 }
 
-/// Adds outcome and charge to the headers of a completed answer.
+/// Adds the outcome and the charge to the headers of a completed answer.
 pub fn set_charged(headers: &mut HeaderMap, charged: Tokens) {
     let outcome = HeaderValue::from_static(Outcome::Ran.as_str());
     headers.insert(OUTCOME_HEADER, outcome);
     headers.insert(CHARGED_HEADER, HeaderValue::from(charged));
 }
 
-/// Headers of a streamed answer. Its end isn't known yet, and its outcome is
-/// `unknown` until the last event says otherwise.
+/// Headers of a streamed answer. Its outcome is `unknown` until the last event states it.
 fn stream_headers() -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -237,7 +236,7 @@
     headers
 }
 
-/// Key and charge of a completed answer.
+/// Creates the receipt of a completed answer.
 #[must_use]
 pub fn receipt(key: RequestKey, charged: Tokens) -> Receipt {
     Receipt { key, charged }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -1,5 +1,5 @@
-//! A planned stop: no new requests, those in flight to their end, every charge
-//! decided, every unused right returned.
+//! Graceful shutdown: refuses new requests, completes those in flight, waits until all charges
+//! are decided and returns all unused quota.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use crate::node::Node;
 use crate::router::Router;
 
-/// Time between looks at the requests in flight.
-const POLL: Duration = Duration::from_millis(5);
-/// Least time for the end of the connections.
+/// Time between checks for requests in flight.
+const POLL_PERIOD: Duration = Duration::from_millis(5);
+/// Shortest time that open connections get to end.
 const WEB_GRACE: Duration = Duration::from_secs(2);
-/// Longest wait for the return of one account's rights.
-const RETURN_WAIT: Duration = Duration::from_secs(5);
-/// Longest wait for background work that was told to end.
-const JOIN_WAIT: Duration = Duration::from_secs(5);
+/// Longest wait for the return of one account's quota.
+const RETURN_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest wait for background tasks to end after their cancellation.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Stops the router within the limit of its settings.
+/// Shuts the router down within the `stop_ms` of its settings, plus the minimum times above.
 pub async fn stop(router: Router) {
     let Router {
         node,
@@ -36,46 +36,46 @@
     node.stopping.store(true, Ordering::SeqCst);
     event!(info, "stop.draining", in_flight = node.keys.in_flight());
     while node.keys.in_flight() > 0 && Instant::now() < limit {
-        sleep(POLL).await;
+        sleep(POLL_PERIOD).await;
     }
     let left = limit.saturating_duration_since(Instant::now());
     web.stop(left.max(WEB_GRACE)).await;
     node.closing.cancel();
     claims.cancel();
-    // What was put off is handed over now; then all charges are waited for.
-    node.late.close();
-    let late = timeout(RETURN_WAIT, node.late.wait()).await;
-    if late.is_err() {
-        event!(warn, "stop.late-left", count = node.late.len());
+    // Deferred charges are submitted now; after that all charges are awaited.
+    node.deferred.close();
+    let deferred = timeout(RETURN_TIMEOUT, node.deferred.wait()).await;
+    if deferred.is_err() {
+        event!(warn, "stop.charges-left", count = node.deferred.len());
     }
     let settled = node
         .settler
-        .drain(limit.max(Instant::now() + RETURN_WAIT))
+        .drain(limit.max(Instant::now() + RETURN_TIMEOUT))
         .await;
     let pending = node.settler.counts().pending.load(Ordering::Relaxed);
     event!(info, "stop.settled", all = settled, pending = pending);
-    return_all(&node).await;
+    return_quota(&node).await;
     upkeep.cancel();
     node.tasks.close();
-    if timeout(JOIN_WAIT, node.tasks.wait()).await.is_err() {
+    if timeout(JOIN_TIMEOUT, node.tasks.wait()).await.is_err() {
         event!(warn, "stop.tasks-left", count = node.tasks.len());
     }
     admin.stop().await;
     node.ledgers.stop().await;
 }
 
-/// Returns all unused rights and waits for the log's word.
-async fn return_all(node: &Node) {
+/// Returns all unused quota and waits until the log has decided each return.
+async fn return_quota(node: &Node) {
     let mut returns = Vec::new();
     for seat in node.members.seats() {
         for account in seat.accounts() {
-            returns.push(return_one(node, std::sync::Arc::clone(&seat), account));
+            returns.push(return_account(node, std::sync::Arc::clone(&seat), account));
         }
     }
     futures_util::future::join_all(returns).await;
 }
 
-async fn return_one(node: &Node, seat: std::sync::Arc<Seat>, account: std::sync::Arc<Account>) {
+async fn return_account(node: &Node, seat: std::sync::Arc<Seat>, account: std::sync::Arc<Account>) {
     account.grant.shrink(u64::MAX);
     let GrantCounters {
         returned, reserved, ..
@@ -84,7 +84,7 @@
         return;
     }
     let kind = record::Kind::GiveBack(account.give_back(&seat));
-    let decided = node.ledgers.submit(seat.shard, kind, RETURN_WAIT).await;
+    let decided = node.ledgers.submit(seat.shard, kind, RETURN_TIMEOUT).await;
     event!(
         info,
         "stop.returned",
--- a/crates/router/src/surface.rs
+++ b/crates/router/src/surface.rs
@@ -1,4 +1,4 @@
-//! The callers' surface: paths, and the headers that a request may carry.
+//! The HTTP API for callers: paths and request headers.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 /// Header with the caller's request key.
 pub const KEY: &str = "idempotency-key";
-/// Header with the name of the priority class.
+/// Header with the priority class.
 pub const CLASS: &str = "x-priority";
-/// Header that marks a request as non-idempotent, by the value `once`.
+/// Header that marks a request as non-idempotent if its value is `once`.
 pub const RUN: &str = "swiftlink-run";
-/// Header with the time that the caller gives the request (ms).
+/// Header with the time limit of the request (ms).
 pub const DEADLINE: &str = "swiftlink-deadline-ms";
-/// Header that resumes a stream after an event.
+/// Header with the id of the event after which a stream resumes.
 pub const LAST_EVENT: &str = "last-event-id";
-/// Header of a request that a peer router has relayed here.
+/// Header that marks a request as relayed by a peer router.
 pub const RELAY: &str = "swiftlink-relay";
 
 const CHAT: &str = "/v1/chat/completions";
@@ -24,14 +24,14 @@
 const STREAMS: &str = "/v1/streams";
 const SERVICES: &str = "/services/";
 
-/// What a request's path asks for.
+/// Operation that a request's path names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
     /// A chat completion.
     Chat,
     /// A plain completion.
     Completion,
-    /// The rest of a stream, named by `Last-Event-ID`.
+    /// Resumption of the stream named by `Last-Event-ID`.
     Stream,
     /// A call of a plain service.
     Service {
@@ -43,17 +43,17 @@
 }
 
 impl Route {
-    /// Path of the route at a model engine.
+    /// Path of a completion request at a model engine.
     #[must_use]
     pub fn engine_path(is_chat: bool) -> &'static str {
         if is_chat { CHAT } else { COMPLETIONS }
     }
 }
 
-/// Reads a request's method, path and query.
+/// Parses a request's method, path and query.
 ///
 /// # Errors
-/// [`RefusalKind::UnknownPool`] when there is nothing at the path.
+/// [`RefusalKind::UnknownPool`] if the path is unknown.
 pub fn route(method: &Method, path: &str, query: Option<&str>) -> Result<Route, Refusal> {
     match path {
         CHAT if method == Method::POST => return Ok(Route::Chat),
@@ -76,27 +76,27 @@
     })
 }
 
-/// What the headers of a request say.
+/// Options that a request sets by its headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Options {
-    /// Key that the caller gave.
+    /// Request key, if the caller set one.
     pub key: Option<RequestKey>,
-    /// Priority class that the caller wants.
+    /// Requested priority class.
     pub class: Option<ClassName>,
-    /// The request must not run twice.
+    /// Whether the request must not run twice.
     pub once: bool,
-    /// Time that the caller gives it.
+    /// Time limit of the request.
     pub deadline: Option<Duration>,
-    /// The last event that the caller has seen.
+    /// Id of the last event that the caller received.
     pub last_event: Option<String>,
-    /// A peer router has relayed the request.
+    /// Whether a peer router relayed the request.
     pub relayed: bool,
 }
 
-/// Reads the headers that this system knows.
+/// Parses the request headers that the router knows.
 ///
 /// # Errors
-/// [`RefusalKind::Malformed`], with the header at fault.
+/// [`RefusalKind::Malformed`], naming the malformed header.
 pub fn options(headers: &HeaderMap) -> Result<Options, Refusal> {
     let mut options = Options {
         key: key(headers)?,
@@ -122,10 +122,10 @@
     Ok(options)
 }
 
-/// The request key that the caller gave.
+/// Parses the request key, if the caller set one.
 ///
 /// # Errors
-/// [`RefusalKind::Malformed`], with the header at fault.
+/// [`RefusalKind::Malformed`], naming the malformed header.
 pub fn key(headers: &HeaderMap) -> Result<Option<RequestKey>, Refusal> {
     let Some(text) = text(headers, KEY)? else {
         return Ok(None);
@@ -135,10 +135,10 @@
         .map_err(|error| malformed(KEY, format!("{error}")))
 }
 
-/// The secret of a bearer key.
+/// Returns the secret of the bearer token.
 ///
 /// # Errors
-/// [`RefusalKind::Unauthenticated`] when there is none.
+/// [`RefusalKind::Unauthenticated`] if there is none.
 pub fn bearer(headers: &HeaderMap) -> Result<&str, Refusal> {
     let value = headers
         .get(AUTHORIZATION)
@@ -153,7 +153,7 @@
     }
 }
 
-/// A refusal that names the field at fault.
+/// Creates a refusal that names the malformed field.
 #[must_use]
 pub fn malformed(field: &str, detail: impl Into<String>) -> Refusal {
     Refusal::not_run(RefusalKind::Malformed, detail).with_field(field)
--- a/crates/router/src/vms.rs
+++ b/crates/router/src/vms.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's VM list and of the backend servers' load reports.
+//! Polls the platform's VM list and the backend servers' load reports.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use crate::fleet::{Pool, Pools};
 use swiftlink_gateway::upstream::{SendOptions, send};
 
-/// Longest body of a report (bytes).
-const BODY_MAX: usize = 4 << 20;
-/// Longest time for each step of reading a report: connection, head and body.
-const READ_TIME: Duration = Duration::from_secs(1);
-/// Longest time for reading the VM list.
-const LIST_TIME: Duration = Duration::from_secs(3);
-/// What the router calls itself at the VM list.
-const AGENT: &str = "swiftlink-router";
+/// Largest body of a load report (bytes).
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Timeout of each step of reading a load report: connection, head and body.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of reading the VM list.
+const LIST_TIMEOUT: Duration = Duration::from_secs(3);
+/// User agent for requests to the VM list.
+const USER_AGENT: &str = "swiftlink-router";
 /// Path of a model engine's load report.
 const MODEL_LOAD: &str = "/load";
 
-/// Reads the VM list at `address` every `period` until `stop`.
-pub async fn follow_list(
+/// Polls the VM list at `address` every `period` until `stop`.
+pub async fn poll_list(
     address: SocketAddr,
     period: Duration,
     pools: Arc<Pools>,
@@ -39,21 +39,21 @@
 ) {
     let mut ticks = interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let http = Http::open(AGENT);
-    let mut is_out = false;
+    let http = Http::open(USER_AGENT);
+    let mut is_unreachable = false;
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        let Ok(list) = VmList::<Vm>::read(&http, address, LIST_TIME).await else {
-            if !is_out {
+        let Ok(list) = VmList::<Vm>::read(&http, address, LIST_TIMEOUT).await else {
+            if !is_unreachable {
                 event!(warn, "vms.unreachable", address = address);
             }
-            is_out = true;
+            is_unreachable = true;
             continue;
         };
-        is_out = false;
+        is_unreachable = false;
         let mut listed = Vec::with_capacity(list.vms.len());
         for vm in list.vms {
             listed.push(ListedVm {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Reads the load of all backend servers in use every `period` until `stop`.
-pub async fn follow_load(
+/// Polls the load of all backend servers in use every `period` until `stop`.
+pub async fn poll_load(
     period: Duration,
     service_path: Arc<str>,
     pools: Arc<Pools>,
@@ -92,7 +92,7 @@
                 continue;
             }
             for (idx, address) in pool.polled() {
-                reads.push(report(Arc::clone(&pool), idx, address, path));
+                reads.push(read_report(Arc::clone(&pool), idx, address, path));
             }
         }
         tokio::select! {
@@ -102,7 +102,7 @@
     }
 }
 
-async fn report(pool: Arc<Pool>, idx: ServerIdx, address: SocketAddr, path: &str) {
+async fn read_report(pool: Arc<Pool>, idx: ServerIdx, address: SocketAddr, path: &str) {
     let Some(load) = read::<engine::LoadReport>(address, path).await else {
         return;
     };
@@ -116,11 +116,11 @@
     pool.on_report(idx, report);
 }
 
-/// Reads a JSON document; `None` when it can't be had.
+/// Reads a JSON document; `None` on any failure.
 async fn read<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
     let options = SendOptions {
-        connect: READ_TIME,
-        head: READ_TIME,
+        connect: READ_TIMEOUT,
+        head: READ_TIMEOUT,
         fresh: false,
     };
     let request = engine::plain(address, Method::GET, path, bytes::Bytes::new());
@@ -129,8 +129,8 @@
         return None;
     }
     let (response, mut lease) = answer.split();
-    let body = Limited::new(response.into_body(), BODY_MAX).collect();
-    let whole = timeout(READ_TIME, body).await.ok()?.ok()?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect();
+    let bytes = timeout(READ_TIMEOUT, body).await.ok()?.ok()?.to_bytes();
     lease.recycle();
-    serde_json::from_slice(&whole).ok()
+    serde_json::from_slice(&bytes).ok()
 }
--- a/crates/router/tests/past.rs
+++ b/crates/router/tests/past.rs
@@ -1,9 +1,9 @@
-//! What a router remembers of the keys that it has dispatched.
+//! History of the request keys that a router has dispatched.
 
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use swiftlink_router::history::{Past, RunHistory, WholeRun};
+use swiftlink_router::history::{CompletedRun, KeyStatus, RunHistory};
 use swiftlink_router::keys::{KeyUse, Keys};
 use swiftlink_types::{RequestKey, ServerName, WorkspaceName};
 
@@ -19,8 +19,8 @@
     keys.take(&workspace, key, NOW, 0).expect("a new key")
 }
 
-fn whole(charged: u64) -> WholeRun {
-    WholeRun {
+fn completed(charged: u64) -> CompletedRun {
+    CompletedRun {
         server: Some(ServerName::from("annals-1")),
         stream: Some("s-1".to_owned()),
         charged,
@@ -28,82 +28,90 @@
 }
 
 #[test]
-fn a_whole_run_is_remembered_with_its_charge() {
-    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
+fn a_complete_run_is_recorded_with_its_charge() {
+    let (keys, history) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let key = new_key(&keys);
-    assert_eq!(past.look(&key, 7), Past::Open);
-    let mut run = past.begin(&key, 7);
-    assert!(!past.knows(key.workspace(), key.key()), "not dispatched");
+    assert_eq!(history.status(&key, 7), KeyStatus::Runnable);
+    let mut run = history.begin(&key, 7);
+    assert!(!history.knows(key.workspace(), key.key()), "not dispatched");
     run.dispatch();
-    assert_eq!(past.look(&key, 7), Past::Open, "its end is not known");
-    assert!(past.knows(key.workspace(), key.key()));
-    run.whole(whole(12));
-    assert_eq!(past.look(&key, 7), Past::Whole(whole(12)));
-    assert_eq!(past.look(&key, 8), Past::Reused);
-    past.note_void(key.workspace(), key.key());
-    run.whole(whole(13));
-    assert_eq!(past.look(&key, 7), Past::Whole(whole(12)), "as told first");
+    assert_eq!(
+        history.status(&key, 7),
+        KeyStatus::Runnable,
+        "still running"
+    );
+    assert!(history.knows(key.workspace(), key.key()));
+    run.complete(completed(12));
+    assert_eq!(history.status(&key, 7), KeyStatus::Complete(completed(12)));
+    assert_eq!(history.status(&key, 8), KeyStatus::Reused);
+    history.note_void(key.workspace(), key.key());
+    run.complete(completed(13));
+    assert_eq!(
+        history.status(&key, 7),
+        KeyStatus::Complete(completed(12)),
+        "the first result stands"
+    );
 }
 
 #[test]
-fn a_recalled_dispatch_leaves_no_trace_but_an_earlier_one_does() {
-    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
+fn a_recalled_dispatch_is_removed_but_an_earlier_one_stays() {
+    let (keys, history) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let key = new_key(&keys);
-    let mut run = past.begin(&key, 7);
+    let mut run = history.begin(&key, 7);
     run.dispatch();
     run.recall();
-    assert!(!past.knows(key.workspace(), key.key()));
+    assert!(!history.knows(key.workspace(), key.key()));
     run.dispatch();
-    let mut second = past.begin(&key, 7);
+    let mut second = history.begin(&key, 7);
     second.dispatch();
     second.recall();
     assert!(
-        past.knows(key.workspace(), key.key()),
+        history.knows(key.workspace(), key.key()),
         "the first may have run"
     );
 }
 
 #[test]
-fn a_key_that_was_charged_elsewhere_is_not_run() {
-    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
+fn a_key_charged_by_another_run_does_not_run() {
+    let (keys, history) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let (cut, foreign) = (new_key(&keys), new_key(&keys));
-    past.begin(&cut, 7).dispatch();
-    past.note_void(cut.workspace(), cut.key());
-    assert_eq!(past.look(&cut, 7), Past::Charged);
-    assert_eq!(past.look(&cut, 8), Past::Reused);
-    past.note_void(foreign.workspace(), foreign.key());
-    assert_eq!(past.look(&foreign, 8), Past::Charged);
+    history.begin(&cut, 7).dispatch();
+    history.note_void(cut.workspace(), cut.key());
+    assert_eq!(history.status(&cut, 7), KeyStatus::Charged);
+    assert_eq!(history.status(&cut, 8), KeyStatus::Reused);
+    history.note_void(foreign.workspace(), foreign.key());
+    assert_eq!(history.status(&foreign, 8), KeyStatus::Charged);
 }
 
 #[test]
-fn keys_older_than_the_floor_are_forgotten() {
-    let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(100));
+fn keys_older_than_the_floor_are_removed() {
+    let (keys, history) = (Keys::new(WINDOW, 0), RunHistory::new(100));
     let old = key_of(&keys, RequestKey::generate(NOW - 100));
     let new = new_key(&keys);
-    past.begin(&old, 1).dispatch();
-    past.begin(&new, 1).dispatch();
-    past.forget(NOW - 50);
-    assert!(!past.knows(old.workspace(), old.key()));
-    assert!(past.knows(new.workspace(), new.key()));
+    history.begin(&old, 1).dispatch();
+    history.begin(&new, 1).dispatch();
+    history.forget(NOW - 50);
+    assert!(!history.knows(old.workspace(), old.key()));
+    assert!(history.knows(new.workspace(), new.key()));
 }
 
 proptest! {
-    /// However many keys come, the memory stays within its bound, and a key just
-    /// dispatched is known.
+    /// The history stays within its bound for any number of keys, and a key that was just
+    /// dispatched is in it.
     #[test]
-    fn memory_is_bounded(limit in 1_usize..64, count in 1_usize..400, recalled in any::<u64>()) {
-        let (keys, past) = (Keys::new(WINDOW, 0), RunHistory::new(limit));
+    fn the_history_is_bounded(limit in 1_usize..64, count in 1_usize..400, recalled in any::<u64>()) {
+        let (keys, history) = (Keys::new(WINDOW, 0), RunHistory::new(limit));
         for number in 0..count {
             let key = new_key(&keys);
-            let mut run = past.begin(&key, 1);
+            let mut run = history.begin(&key, 1);
             run.dispatch();
-            prop_assert!(past.knows(key.workspace(), key.key()));
+            prop_assert!(history.knows(key.workspace(), key.key()));
             if recalled >> (number % 64) & 1 == 1 {
                 run.recall();
-                prop_assert!(!past.knows(key.workspace(), key.key()));
+                prop_assert!(!history.knows(key.workspace(), key.key()));
             }
-            // Each of the 16 parts rounds its share up.
-            prop_assert!(past.len() < limit + 16);
+            // Each of the 16 shards rounds its limit up.
+            prop_assert!(history.len() < limit + 16);
         }
     }
 }
--- a/crates/router/tests/peers.rs
+++ b/crates/router/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Signs of life of a peer router: only an answer counts.
+//! Liveness of peer routers: only an answer is a sign of life.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -17,14 +17,14 @@
     Peers::new(Handle::current(), TaskTracker::new(), PERIOD, stop)
 }
 
-/// A listener whose kernel takes connections and whose process takes none.
+/// Binds a listener without accepting: the kernel takes connections, as for a frozen process.
 fn frozen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// Answers every probe with a refusal, and tells of each.
+/// Answers every probe with status 503 and sends a message for each.
 fn thaw(listener: TcpListener) -> tokio::sync::mpsc::Receiver<()> {
     let (sender, answered) = tokio::sync::mpsc::channel(100);
     tokio::spawn(async move {
@@ -60,7 +60,7 @@
     let peers = peers();
     let mut watched = peers.watch(address);
     assert!(!watched.is_silent());
-    watched.silenced().await;
+    watched.wait_until_silent().await;
     assert!(
         peers.watch(address).is_silent(),
         "known for the next request"
@@ -74,22 +74,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_out_of_reach_is_passed_over_for_a_while() {
+async fn an_unreachable_peer_is_skipped_during_its_backoff() {
     let address = "127.0.0.1:7101".parse().expect("an address");
     let peers = peers();
     assert!(peers.is_up(address));
-    peers.note_down(address);
+    peers.on_connect_failure(address);
     assert!(!peers.is_up(address));
     tokio::time::advance(Duration::from_secs(1)).await;
     assert!(peers.is_up(address));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_peer_is_passed_over() {
+async fn a_silent_peer_is_skipped() {
     let (_listener, address) = frozen();
     let peers = peers();
     let mut watched = peers.watch(address);
     assert!(peers.is_up(address));
-    watched.silenced().await;
+    watched.wait_until_silent().await;
     assert!(!peers.is_up(address));
 }
--- a/crates/router/tests/queue.rs
+++ b/crates/router/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue in front of a pool's backend servers.
+//! The request queue of a pool.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,9 +22,9 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// The last server leaves while requests wait, with an hour to their deadline.
+/// Waiting requests must not be held until their deadline, an hour away, once no server is left.
 #[tokio::test]
-async fn who_waits_is_refused_at_once_when_the_last_server_leaves() {
+async fn waiting_requests_are_refused_at_once_when_the_last_server_leaves() {
     let queue = PoolQueue::new(PoolName::from("annals"));
     queue.set_slots(1);
     let slot = queue.acquire(arrival()).await.expect("a slot");
@@ -36,8 +36,8 @@
         tokio::task::yield_now().await;
     }
     queue.set_slots(0);
-    let turn = waiting.await.expect("it ends");
-    assert_no_server(&turn.expect_err("nothing serves it"));
+    let result = waiting.await.expect("it ends");
+    assert_no_server(&result.expect_err("nothing serves it"));
     let late = queue.acquire(arrival()).await;
     assert_no_server(&late.expect_err("nothing serves it"));
     drop(slot);
--- a/crates/router/tests/surface.rs
+++ b/crates/router/tests/surface.rs
@@ -1,4 +1,4 @@
-//! Paths and headers of the callers' surface.
+//! Paths and headers of the HTTP API for callers.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_paths_of_the_surface() {
+fn known_paths_are_routed() {
     let cases = [
         (Method::POST, "/v1/chat/completions", Route::Chat),
         (Method::POST, "/v1/completions", Route::Completion),
@@ -80,7 +80,7 @@
 fn a_malformed_header_is_named() {
     let cases = [
         ("idempotency-key", "7"),
-        // Version 4: it carries no time.
+        // A version 4 UUID carries no timestamp.
         ("idempotency-key", "8c5b9a52-6f5e-4c3b-9d5e-0f8a3f0f7c11"),
         ("swiftlink-run", "twice"),
         ("swiftlink-deadline-ms", "0"),
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn a_header_that_counts_may_not_come_twice() {
+fn a_known_header_must_not_be_repeated() {
     let twice = headers(&[("swiftlink-run", "once"), ("swiftlink-run", "idempotent")]);
     let refusal = options(&twice).expect_err("twice");
     assert_eq!(refusal.field.as_deref(), Some("swiftlink-run"));
 }
 
 #[test]
-fn the_bearer_secret_is_found_whatever_the_case_of_its_scheme() {
+fn the_bearer_scheme_is_case_insensitive() {
     for value in ["Bearer s3cret", "bearer s3cret", "BEARER  s3cret"] {
         assert_eq!(bearer(&headers(&[("authorization", value)])), Ok("s3cret"));
     }
