--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -18,7 +18,7 @@
 use crate::pass::{Finished, Progress, StreamEnd, forward_chunks, read_usage};
 use crate::reader::{ReadError, Reader};
 use crate::reply::{Reply, ReplySender};
-use crate::serve::{Run, send};
+use crate::serve::{Run, send_reply};
 use crate::settle_late::{InterruptedAnswer, settle_late};
 use crate::sink::{Sink, receipt};
 use crate::surface::Route;
@@ -34,7 +34,7 @@
     };
     let mut slot = match wait_slot(&run.call).await {
         Ok(slot) => slot,
-        Err(refusal) => return send(reply, Reply::Refused(refusal)),
+        Err(refusal) => return send_reply(reply, Reply::Refused(refusal)),
     };
     let mut sink = if work.stream {
         Sink::events(reply)
--- a/crates/router/src/pass.rs
+++ b/crates/router/src/pass.rs
@@ -11,7 +11,7 @@
 use crate::sink::{LastChunk, Sink};
 
 /// Text that each chunk with a usage report contains.
-const USAGE_MARK: &str = "\"usage\"";
+const USAGE_FIELD: &str = "\"usage\"";
 
 /// How a stream of chunks ended.
 #[derive(Debug)]
@@ -77,8 +77,8 @@
             on_first();
         }
         // Another chunk follows, so the one with the usage wasn't the last.
-        if let Some(kept) = last.take() {
-            sink.push(kept.number, &kept.data).await;
+        if let Some(held) = last.take() {
+            sink.push(held.number, &held.data).await;
         }
         next_number = chunk.number + 1;
         progress.seen += 1;
@@ -105,7 +105,7 @@
 
 /// Parses the chunk if it reports the usage.
 fn parse_usage(data: &str) -> Option<swiftlink_stream::Completion> {
-    if !data.contains(USAGE_MARK) {
+    if !data.contains(USAGE_FIELD) {
         return None;
     }
     match parse_event(data.as_bytes()) {
--- a/crates/router/src/reader.rs
+++ b/crates/router/src/reader.rs
@@ -95,7 +95,7 @@
         from: u64,
         options: ReadOptions,
     ) -> Self {
-        let mut reader = Self::idle(address, None, from, options);
+        let mut reader = Self::disconnected(address, None, from, options);
         let id = engine::stream_id(answer.response.headers());
         reader.stream = id;
         reader.attach(answer);
@@ -106,12 +106,17 @@
     /// connects on the first read.
     #[must_use]
     pub fn resuming(address: SocketAddr, stream: String, from: u64, options: ReadOptions) -> Self {
-        let mut reader = Self::idle(address, Some(stream), from, options);
+        let mut reader = Self::disconnected(address, Some(stream), from, options);
         reader.assembler.on_disconnect();
         reader
     }
 
-    fn idle(address: SocketAddr, stream: Option<String>, from: u64, options: ReadOptions) -> Self {
+    fn disconnected(
+        address: SocketAddr,
+        stream: Option<String>,
+        from: u64,
+        options: ReadOptions,
+    ) -> Self {
         let now = Instant::now();
         Self {
             address,
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::peers::PeerWatch;
 use crate::reply::{Reply, ReplySender, channel};
-use crate::serve::send;
+use crate::serve::send_reply;
 use crate::surface::{KEY, RELAY};
 use swiftlink_gateway::upstream::{PendingResponse, SendError, send as send_http};
 
@@ -56,7 +56,7 @@
         reply: ReplySender,
     ) {
         if let RelayResult::NotRun(reply) = self.relay(holders, &refusal, reply).await {
-            send(reply, Reply::Refused(refusal));
+            send_reply(reply, Reply::Refused(refusal));
         }
     }
 
@@ -96,7 +96,7 @@
         let Some(lost) = lost else {
             return RelayResult::NotRun(reply);
         };
-        send(reply, Reply::Refused(lost));
+        send_reply(reply, Reply::Refused(lost));
         RelayResult::Answered
     }
 
@@ -230,13 +230,13 @@
 }
 
 /// Forwards the peer's answer as it arrives. If the peer falls silent, the caller's connection
-/// is cut, and the caller can resume the stream at any router.
+/// is closed early, and the caller can resume the stream at any router.
 async fn forward_answer(answer: Box<PendingResponse>, mut watched: PeerWatch, reply: ReplySender) {
     let (response, mut lease) = answer.split();
     let (parts, body) = response.into_parts();
     let headers = end_to_end(&parts.headers);
     let (sender, receiver) = channel();
-    send(reply, Reply::Stream(parts.status, headers, receiver));
+    send_reply(reply, Reply::Stream(parts.status, headers, receiver));
     let is_silent = tokio::select! {
         _whole = pass_body(body, &mut lease, &sender) => false,
         () = watched.wait_until_silent() => true,
--- a/crates/router/src/repeat.rs
+++ b/crates/router/src/repeat.rs
@@ -15,14 +15,14 @@
 use crate::pass::{Progress, StreamEnd, forward_chunks};
 use crate::reader::Reader;
 use crate::reply::{Reply, ReplySender};
-use crate::serve::send;
+use crate::serve::send_reply;
 use crate::sink::{Sink, receipt};
 
 /// Answers `call` with the answer of `completed`, or with a refusal that says that it ran.
 pub async fn run(node: &Node, call: Call, completed: CompletedRun, reply: ReplySender) {
     let charged = completed.charged;
     let Some((work, mut reader)) = open(node, &call, &completed).await else {
-        return send(reply, Reply::Refused(not_kept(charged)));
+        return send_reply(reply, Reply::Refused(not_kept(charged)));
     };
     let mut sink = if work.stream {
         Sink::events(reply)
--- a/crates/router/src/resume.rs
+++ b/crates/router/src/resume.rs
@@ -12,7 +12,7 @@
 use crate::pass::{Finished, Progress, StreamEnd, forward_chunks, read_usage};
 use crate::reader::{ReadError, Reader};
 use crate::reply::{Reply, ReplySender};
-use crate::serve::{Run, send};
+use crate::serve::{Run, send_reply};
 use crate::sink::Sink;
 
 /// Reads the rest of the stream and charges the run.
@@ -23,17 +23,17 @@
     let server = work.token.server.as_str();
     let Some(address) = run.call.pool.address(server) else {
         let detail = format!("the backend server {server} is no longer declared");
-        return send(reply, Reply::Refused(stream_gone(detail)));
+        return send_reply(reply, Reply::Refused(stream_gone(detail)));
     };
     if work.token.stream.is_empty() {
         let detail = "the engine gave the stream no id";
-        return send(reply, Reply::Refused(stream_gone(detail)));
+        return send_reply(reply, Reply::Refused(stream_gone(detail)));
     }
     let options = run.node.read_options();
     let stream = work.token.stream.clone();
     let mut reader = Reader::resuming(address, stream.clone(), work.from, options);
     if let Err(error) = reader.open().await {
-        return send(reply, Reply::Refused(read_refusal(&error)));
+        return send_reply(reply, Reply::Refused(read_refusal(&error)));
     }
     let mut sink = Sink::events(reply);
     sink.begin(work.text.clone());
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -122,9 +122,9 @@
     let tasks = TaskTracker::new();
     let runtime = shell.handle().clone();
     let ledgers = Arc::new(Ledgers::spawn(&settings));
-    let home = DomainName::from(settings.common.domain.as_str());
-    let seed = seed_of(&settings.common.vm);
-    let pools = Pools::new(home, settings.subset, seed);
+    let domain = DomainName::from(settings.common.domain.as_str());
+    let seed = subset_seed(&settings.common.vm);
+    let pools = Pools::new(domain, settings.subset, seed);
     let freshness = Freshness::new(pings::rule(settings.stale()), ledgers.near().len());
     let config = ConfigView::new(Arc::clone(&pools), freshness);
     let context = ClaimContext {
@@ -270,7 +270,7 @@
 }
 
 /// Derives the seed from the VM name, so that routers on different VMs choose different subsets.
-fn seed_of(vm: &str) -> u64 {
+fn subset_seed(vm: &str) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     vm.hash(&mut hasher);
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -154,13 +154,13 @@
                 record.mark_passed();
                 return repeat::run(&node, call, completed, reply).await;
             }
-            KeyStatus::Reused => return send(reply, Reply::Refused(repeat::reused())),
-            KeyStatus::Charged => return send(reply, Reply::Refused(repeat::charged())),
+            KeyStatus::Reused => return send_reply(reply, Reply::Refused(repeat::reused())),
+            KeyStatus::Charged => return send_reply(reply, Reply::Refused(repeat::charged())),
         }
     }
     match previous_outcome(&node, &call) {
         None => {}
-        Some(Spent::Dispatched) => return send(reply, Reply::Refused(lost(false))),
+        Some(Spent::Dispatched) => return send_reply(reply, Reply::Refused(lost(false))),
         Some(Spent::Abandoned) => {
             record.mark_passed();
             let relayer = relay::Relayer {
@@ -180,7 +180,9 @@
                 held
             }
             QuotaResult::Answered => return record.mark_passed(),
-            QuotaResult::Refused(refusal, back) => return send(back, Reply::Refused(refusal)),
+            QuotaResult::Refused(refusal, back) => {
+                return send_reply(back, Reply::Refused(refusal));
+            }
         },
     };
     let (seat, rights) = held.map(|held| (held.seat, held.reservation)).unzip();
@@ -191,10 +193,10 @@
     };
     if call.once {
         let Some(seat) = seat.as_ref() else {
-            return send(reply, Reply::Refused(not_joined()));
+            return send_reply(reply, Reply::Refused(not_joined()));
         };
         if node.config.is_log_silent() {
-            return send(reply, Reply::Refused(log_unavailable()));
+            return send_reply(reply, Reply::Refused(log_unavailable()));
         }
         let won = node
             .intents
@@ -202,7 +204,7 @@
             .await;
         match won {
             Ok(intent) => attempt.intent = Some(intent),
-            Err(refusal) => return send(reply, Reply::Refused(refusal)),
+            Err(refusal) => return send_reply(reply, Reply::Refused(refusal)),
         }
     }
     let run = Run {
@@ -221,7 +223,7 @@
 }
 
 /// Sends a reply; the caller may have disconnected.
-pub fn send(sender: ReplySender, reply: Reply) {
+pub fn send_reply(sender: ReplySender, reply: Reply) {
     let _gone = sender.send(reply);
 }
 
@@ -345,7 +347,7 @@
     /// Charges `tokens` once, and returns the charge of the key, by this run or an earlier one.
     /// Waits until the charge is stored in another failure domain or the wait times out.
     pub async fn charge(&mut self, tokens: Tokens) -> Tokens {
-        let (Some(seat), Some(rights)) = (&self.seat, self.attempt.rights.take()) else {
+        let (Some(seat), Some(quota)) = (&self.seat, self.attempt.rights.take()) else {
             return 0;
         };
         let cost = self.call.cost(tokens);
@@ -357,7 +359,7 @@
             before = known;
             self.carrier = Some(carrier);
         }
-        let drawn = rights.settle(cost);
+        let drawn = quota.settle(cost);
         let charged = before.unwrap_or(drawn);
         if let Some(record) = self.record.upgrade() {
             record.charge(charged);
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -9,7 +9,7 @@
 use crate::fleet::Target;
 use crate::forward::{end_to_end, for_server, pass_body};
 use crate::reply::{Reply, ReplySender, channel};
-use crate::serve::{Run, send};
+use crate::serve::{Run, send_reply};
 use crate::sink::set_charged;
 
 /// Calls the service and forwards its answer.
@@ -22,7 +22,7 @@
     };
     let mut slot = match wait_slot(&run.call).await {
         Ok(slot) => slot,
-        Err(refusal) => return send(reply, Reply::Refused(refusal)),
+        Err(refusal) => return send_reply(reply, Reply::Refused(refusal)),
     };
     let Run {
         node,
@@ -43,7 +43,7 @@
     };
     let opened = match open(node, call, attempt, 0, false, make).await {
         Ok(opened) => opened,
-        Err(refusal) => return send(reply, Reply::Refused(refusal)),
+        Err(refusal) => return send_reply(reply, Reply::Refused(refusal)),
     };
     let Opened { answer, mut target } = opened;
     target.first_token();
@@ -54,7 +54,7 @@
     let mut headers = end_to_end(&parts.headers);
     set_charged(&mut headers, charged);
     let (sender, receiver) = channel();
-    send(reply, Reply::Stream(parts.status, headers, receiver));
+    send_reply(reply, Reply::Stream(parts.status, headers, receiver));
     if pass_body(body, &mut lease, &sender).await {
         slot.served();
         target.done();
--- a/crates/router/src/settle_late.rs
+++ b/crates/router/src/settle_late.rs
@@ -68,7 +68,7 @@
     }
     let tokens = usage.unwrap_or(interrupted.seen);
     let cost = swiftlink_types::cost(tokens, price).min(bound);
-    let (Some(seat), Some(rights)) = (seat, attempt.rights) else {
+    let (Some(seat), Some(quota)) = (seat, attempt.rights) else {
         return;
     };
     if cost > 0 {
@@ -82,14 +82,14 @@
         node.settler.settle(&seat, charge, hold).await;
     }
     if is_known {
-        rights.settle(cost);
+        quota.settle(cost);
         return;
     }
     // It is unknown how far the engine ran. The rest of the reserved quota is stranded, since
     // tokens that may have run must not be granted again.
     node.metrics
-        .count("grant.stranded", rights.amount().saturating_sub(cost));
-    drop(rights);
+        .count("grant.stranded", quota.amount().saturating_sub(cost));
+    drop(quota);
 }
 
 /// Returns the tokens that the engine reports, once it can be reached and the run has ended;
--- a/crates/router/src/sink.rs
+++ b/crates/router/src/sink.rs
@@ -10,7 +10,7 @@
 use crate::answer::{self, Receipt, Whole};
 use crate::problem::CHARGED_HEADER;
 use crate::reply::{Piece, Reply, ReplySender, channel};
-use crate::serve::send;
+use crate::serve::send_reply;
 
 /// Receives the chunks of one answer in order.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     sender: mpsc::Sender<Piece>,
     receiver: Option<mpsc::Receiver<Piece>>,
     token: String,
-    gone: bool,
+    is_disconnected: bool,
     sent: u64,
 }
 
@@ -53,7 +53,7 @@
             sender,
             receiver: Some(receiver),
             token: String::new(),
-            gone: false,
+            is_disconnected: false,
             sent: 0,
         })
     }
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn is_gone(&self) -> bool {
         match self {
-            Self::Events(events) => events.gone,
+            Self::Events(events) => events.is_disconnected,
             Self::Collect(collect) => {
                 let reply = collect.reply.as_ref();
                 reply.is_none_or(ReplySender::is_closed)
@@ -125,7 +125,7 @@
             Self::Events(events) => events.fail(refusal).await,
             Self::Collect(collect) => {
                 if let Some(reply) = collect.reply {
-                    send(reply, Reply::Refused(refusal));
+                    send_reply(reply, Reply::Refused(refusal));
                 }
             }
         }
@@ -146,16 +146,16 @@
 impl Events {
     async fn put(&mut self, piece: Bytes) {
         if let (Some(reply), Some(receiver)) = (self.reply.take(), self.receiver.take()) {
-            send(
+            send_reply(
                 reply,
                 Reply::Stream(StatusCode::OK, stream_headers(), receiver),
             );
         }
-        if self.gone {
+        if self.is_disconnected {
             return;
         }
         self.sent += 1;
-        self.gone = self.sender.send(Ok(piece)).await.is_err();
+        self.is_disconnected = self.sender.send(Ok(piece)).await.is_err();
     }
 
     async fn finish(mut self, last: Option<LastChunk>, end: u64, receipt: Receipt) {
@@ -171,7 +171,7 @@
 
     async fn fail(mut self, refusal: Refusal) {
         if let Some(reply) = self.reply.take() {
-            return send(reply, Reply::Refused(refusal));
+            return send_reply(reply, Reply::Refused(refusal));
         }
         let piece = answer::error(&refusal);
         self.put(piece).await;
@@ -215,7 +215,7 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         set_charged(&mut headers, receipt.charged);
         let body = answer::whole(&whole, receipt);
-        send(reply, Reply::Complete(StatusCode::OK, headers, body));
+        send_reply(reply, Reply::Complete(StatusCode::OK, headers, body));
     }
 }
 
--- a/crates/router/tests/past.rs
+++ b/crates/router/tests/past.rs
@@ -74,11 +74,11 @@
 #[test]
 fn a_key_charged_by_another_run_does_not_run() {
     let (keys, history) = (Keys::new(WINDOW, 0), RunHistory::new(100));
-    let (cut, foreign) = (new_key(&keys), new_key(&keys));
-    history.begin(&cut, 7).dispatch();
-    history.note_void(cut.workspace(), cut.key());
-    assert_eq!(history.status(&cut, 7), KeyStatus::Charged);
-    assert_eq!(history.status(&cut, 8), KeyStatus::Reused);
+    let (own, foreign) = (new_key(&keys), new_key(&keys));
+    history.begin(&own, 7).dispatch();
+    history.note_void(own.workspace(), own.key());
+    assert_eq!(history.status(&own, 7), KeyStatus::Charged);
+    assert_eq!(history.status(&own, 8), KeyStatus::Reused);
     history.note_void(foreign.workspace(), foreign.key());
     assert_eq!(history.status(&foreign, 8), KeyStatus::Charged);
 }
--- a/crates/router/tests/peers.rs
+++ b/crates/router/tests/peers.rs
@@ -17,15 +17,15 @@
     Peers::new(Handle::current(), TaskTracker::new(), PERIOD, stop)
 }
 
-/// Binds a listener without accepting: the kernel takes connections, as for a frozen process.
-fn frozen() -> (TcpListener, SocketAddr) {
+/// Binds a listener without accepting: the kernel takes connections, as for a bind_without_accepting process.
+fn bind_without_accepting() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
 /// Answers every probe with status 503 and sends a message for each.
-fn thaw(listener: TcpListener) -> tokio::sync::mpsc::Receiver<()> {
+fn answer_probes(listener: TcpListener) -> tokio::sync::mpsc::Receiver<()> {
     let (sender, answered) = tokio::sync::mpsc::channel(100);
     tokio::spawn(async move {
         listener.set_nonblocking(true).expect("no blocking");
@@ -44,8 +44,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_peer_that_answers_is_never_silent() {
-    let (listener, address) = frozen();
-    let mut answered = thaw(listener);
+    let (listener, address) = bind_without_accepting();
+    let mut answered = answer_probes(listener);
     let peers = peers();
     let watched = peers.watch(address);
     for _probe in 0..5 {
@@ -56,7 +56,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_peer_is_silent_until_it_answers() {
-    let (listener, address) = frozen();
+    let (listener, address) = bind_without_accepting();
     let peers = peers();
     let mut watched = peers.watch(address);
     assert!(!watched.is_silent());
@@ -65,7 +65,7 @@
         peers.watch(address).is_silent(),
         "known for the next request"
     );
-    let mut answered = thaw(listener);
+    let mut answered = answer_probes(listener);
     while watched.is_silent() {
         answered.recv().await.expect("a probe");
         tokio::time::sleep(PERIOD / 10).await;
@@ -86,7 +86,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_peer_is_skipped() {
-    let (_listener, address) = frozen();
+    let (_listener, address) = bind_without_accepting();
     let peers = peers();
     let mut watched = peers.watch(address);
     assert!(peers.is_up(address));
