--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -190,7 +190,7 @@
     }
 
     /// Resolves once the peer counts as silent.
-    pub async fn wait_until_silent(&mut self) {
+    pub async fn until_silent(&mut self) {
         if self.silent.wait_for(|silent| *silent).await.is_err() {
             // Probing has ended because this process is shutting unreachable.
             std::future::pending::<()>().await;
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -142,7 +142,7 @@
         let options = self.node.send_options(left, self.call.once);
         let sent = tokio::select! {
             sent = send_http(address, self.request(address), options) => sent,
-            () = watched.wait_until_silent() => Err(SendError::Lost("the peer is silent".to_owned())),
+            () = watched.until_silent() => Err(SendError::Lost("the peer is silent".to_owned())),
         };
         let answer = match sent {
             Ok(answer) => answer,
@@ -239,7 +239,7 @@
     send_reply(reply, Reply::Stream(parts.status, headers, receiver));
     let is_silent = tokio::select! {
         _whole = pass_body(body, &mut lease, &sender) => false,
-        () = watched.wait_until_silent() => true,
+        () = watched.until_silent() => true,
     };
     if is_silent {
         let cut = std::io::Error::other("the peer router is silent");
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -175,14 +175,12 @@
     let held = match reserve(&node, &call, Phase::First).await {
         Ok(held) => held,
         Err(shortage) => match relay_or_reserve(&node, &call, shortage, reply).await {
-            QuotaResult::Reserved(held, back) => {
+            Fallback::Reserved(held, back) => {
                 reply = back;
                 held
             }
-            QuotaResult::Answered => return record.mark_passed(),
-            QuotaResult::Refused(refusal, back) => {
-                return send_reply(back, Reply::Refused(refusal));
-            }
+            Fallback::Answered => return record.mark_passed(),
+            Fallback::Refused(refusal, back) => return send_reply(back, Reply::Refused(refusal)),
         },
     };
     let (seat, rights) = held.map(|held| (held.seat, held.reservation)).unzip();
@@ -251,7 +249,7 @@
 }
 
 /// Result of relaying a request that had no quota here.
-enum QuotaResult {
+enum Fallback {
     /// Quota was reserved here after the relay ran nothing.
     Reserved(Option<HeldQuota>, ReplySender),
     /// The relay sent the reply.
@@ -267,20 +265,20 @@
     call: &Call,
     shortage: Shortage,
     reply: ReplySender,
-) -> QuotaResult {
+) -> Fallback {
     let Shortage { refusal, holders } = shortage;
     let had_holders = !holders.is_empty();
     let relayer = relay::Relayer { node, call };
     let reply = match relayer.relay(holders, &refusal, reply).await {
-        RelayResult::Answered => return QuotaResult::Answered,
+        RelayResult::Answered => return Fallback::Answered,
         RelayResult::NotRun(reply) => reply,
     };
     if !had_holders {
-        return QuotaResult::Refused(refusal, reply);
+        return Fallback::Refused(refusal, reply);
     }
     match reserve(node, call, Phase::AfterRelay).await {
-        Ok(held) => QuotaResult::Reserved(held, reply),
-        Err(shortage) => QuotaResult::Refused(shortage.refusal, reply),
+        Ok(held) => Fallback::Reserved(held, reply),
+        Err(shortage) => Fallback::Refused(shortage.refusal, reply),
     }
 }
 
--- a/crates/router/tests/peers.rs
+++ b/crates/router/tests/peers.rs
@@ -60,7 +60,7 @@
     let peers = peers();
     let mut watched = peers.watch(address);
     assert!(!watched.is_silent());
-    watched.wait_until_silent().await;
+    watched.until_silent().await;
     assert!(
         peers.watch(address).is_silent(),
         "known for the next request"
@@ -90,6 +90,6 @@
     let peers = peers();
     let mut watched = peers.watch(address);
     assert!(peers.is_up(address));
-    watched.wait_until_silent().await;
+    watched.until_silent().await;
     assert!(!peers.is_up(address));
 }
