--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -20,7 +20,7 @@
 /// Expected time of a claim before one has been timed.
 pub const FIRST_CLAIM_TIME: Duration = Duration::from_millis(20);
 /// Time that a relay to another router is expected to add.
-const DETOUR: Duration = Duration::from_millis(5);
+const RELAY_TIME: Duration = Duration::from_millis(5);
 
 /// Another router that held rights when the log last told.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,17 +33,17 @@
 
 /// What the last claim has told.
 #[derive(Debug, Clone, Default)]
-pub struct News {
+pub struct ClaimStatus {
     /// Grows with every claim answered or failed.
-    pub number: u64,
+    pub version: u64,
     /// When it was told; `None` before the first claim.
-    pub at: Option<Instant>,
+    pub updated_at: Option<Instant>,
     /// The last try got no answer.
-    pub is_out: bool,
+    pub is_failed: bool,
     /// Free in the budget (tokens).
     pub free: Tokens,
     /// Held by other incarnations (tokens).
-    pub elsewhere: Tokens,
+    pub held_elsewhere: Tokens,
     /// The largest other holders.
     pub holders: Arc<[Holder]>,
 }
@@ -80,13 +80,13 @@
     /// Wakes the claimer.
     pub wake: Notify,
     /// Available rights under which the claimer is woken.
-    low: AtomicU64,
+    wake_threshold: AtomicU64,
     /// Expected time of a claim (µs).
     claim_time: AtomicU64,
     waiters: Mutex<Waiters>,
     /// Number of waiters, to be looked at without the lock.
     count: AtomicUsize,
-    news: watch::Sender<News>,
+    status: watch::Sender<ClaimStatus>,
 }
 
 #[derive(Debug, Default)]
@@ -103,11 +103,11 @@
             budget,
             grant: Arc::new(Grant::new()),
             wake: Notify::new(),
-            low: AtomicU64::new(0),
+            wake_threshold: AtomicU64::new(0),
             claim_time: AtomicU64::new(FIRST_CLAIM_TIME.as_micros() as u64),
             waiters: Mutex::default(),
             count: AtomicUsize::new(0),
-            news: watch::Sender::new(News::default()),
+            status: watch::Sender::new(ClaimStatus::default()),
         }
     }
 
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn take(&self, cost: Tokens) -> Option<Reservation> {
         let held = self.grant.hold(cost)?;
-        if self.grant.available() < self.low.load(Ordering::Relaxed) {
+        if self.grant.available() < self.wake_threshold.load(Ordering::Relaxed) {
             self.wake.notify_one();
         }
         Some(held)
@@ -125,13 +125,13 @@
     ///
     /// # Errors
     /// When no rights can be had here in time.
-    pub async fn obtain(
+    pub async fn reserve(
         &self,
         cost: Tokens,
         policy: WaitPolicy,
         may_relay: bool,
     ) -> Result<Reservation, Shortage> {
-        let found = self.try_obtain(cost, policy, may_relay).await;
+        let found = self.try_reserve(cost, policy, may_relay).await;
         if found.is_err() {
             // Demand that was not met here; the claimer sizes its claims by it.
             self.grant.miss(cost);
@@ -145,15 +145,15 @@
     ///
     /// # Errors
     /// When no rights can be had here in time.
-    pub async fn obtain_here(
+    pub async fn reserve_locally(
         &self,
         cost: Tokens,
         policy: WaitPolicy,
     ) -> Result<Reservation, Shortage> {
-        self.try_obtain(cost, policy, false).await
+        self.try_reserve(cost, policy, false).await
     }
 
-    async fn try_obtain(
+    async fn try_reserve(
         &self,
         cost: Tokens,
         policy: WaitPolicy,
@@ -164,25 +164,25 @@
         }
         let start = Instant::now();
         let until = policy.deadline.min(start + policy.claim_wait);
-        let mut news = self.news.subscribe();
+        let mut updates = self.status.subscribe();
         let _waiter = self.enter(cost);
         self.wake.notify_one();
-        let mut busy = None;
+        let mut shortage_here = None;
         loop {
-            let told = news.borrow_and_update().clone();
+            let status = updates.borrow_and_update().clone();
             if let Some(held) = self.take(cost) {
                 return Ok(held);
             }
-            match self.decide(cost, &told, start, until, policy, may_relay) {
+            match self.decide(cost, &status, start, until, policy, may_relay) {
                 Ok(()) => {}
                 Err(shortage) if shortage.holders.is_empty() && self.may_free(cost) => {
-                    busy = Some(shortage);
+                    shortage_here = Some(shortage);
                 }
                 Err(shortage) => return Err(shortage),
             }
-            if timeout_at(until, news.changed()).await.is_err() {
-                let told = news.borrow().clone();
-                return Err(busy.unwrap_or_else(|| self.late(&told, may_relay)));
+            if timeout_at(until, updates.changed()).await.is_err() {
+                let status = updates.borrow().clone();
+                return Err(shortage_here.unwrap_or_else(|| self.timed_out(&status, may_relay)));
             }
         }
     }
@@ -195,9 +195,9 @@
     }
 
     /// Tells those who wait that rights may have become free.
-    pub fn freed(&self) {
+    pub fn on_released(&self) {
         if self.count.load(Ordering::Relaxed) > 0 {
-            self.tell(|_news| {});
+            self.update_status(|_status| {});
         }
     }
 
@@ -205,27 +205,27 @@
     fn decide(
         &self,
         cost: Tokens,
-        told: &News,
+        status: &ClaimStatus,
         start: Instant,
         until: Instant,
         policy: WaitPolicy,
         may_relay: bool,
     ) -> Result<(), Shortage> {
         let now = Instant::now();
-        let is_fresh = told
-            .at
+        let is_fresh = status
+            .updated_at
             .is_some_and(|at| now - at <= policy.pause || at >= start);
         let own = self.grant.counters();
-        let listed: &[Holder] = if may_relay { &told.holders } else { &[] };
-        let holdings: Vec<_> = listed.iter().map(holding).collect();
+        let listed: &[Holder] = if may_relay { &status.holders } else { &[] };
+        let holdings: Vec<_> = listed.iter().map(holder_state).collect();
         let case = Shortfall {
             cost,
             now: micros_since(start, now),
             deadline: micros_since(start, until),
-            is_log_up: policy.has_log && !told.is_out,
+            is_log_up: policy.has_log && !status.is_failed,
             claim_time: self.claim_time(),
-            free: is_fresh.then_some(told.free),
-            held_elsewhere: told.elsewhere + own.available + own.reserved,
+            free: is_fresh.then_some(status.free),
+            held_elsewhere: status.held_elsewhere + own.available + own.reserved,
             holders: &holdings,
         };
         match shortfall(&case) {
@@ -234,7 +234,7 @@
                 let mut holders: Vec<_> = listed.iter().map(|holder| holder.address).collect();
                 holders.swap(0, index);
                 Err(Shortage {
-                    refusal: busy(self.claim_time()),
+                    refusal: budget_busy(self.claim_time()),
                     holders,
                 })
             }
@@ -246,10 +246,10 @@
     }
 
     /// No claim was decided within the wait.
-    fn late(&self, told: &News, may_relay: bool) -> Shortage {
+    fn timed_out(&self, status: &ClaimStatus, may_relay: bool) -> Shortage {
         let detail = "the log did not decide a claim of rights in time";
         let refusal = Refusal::not_run(RefusalKind::LogOut, detail);
-        let listed: &[Holder] = if may_relay { &told.holders } else { &[] };
+        let listed: &[Holder] = if may_relay { &status.holders } else { &[] };
         Shortage {
             refusal: refusal.with_retry(Duration::from_secs(1)),
             holders: listed.iter().map(|holder| holder.address).collect(),
@@ -267,27 +267,27 @@
         }
     }
 
-    /// The last news.
+    /// The last told.
     #[must_use]
-    pub fn news(&self) -> News {
-        self.news.borrow().clone()
+    pub fn claim_status(&self) -> ClaimStatus {
+        self.status.borrow().clone()
     }
 
     /// Tells all waiters.
-    pub fn tell(&self, change: impl FnOnce(&mut News)) {
-        self.news.send_modify(|news| {
-            change(news);
-            news.number += 1;
+    pub fn update_status(&self, change: impl FnOnce(&mut ClaimStatus)) {
+        self.status.send_modify(|status| {
+            change(status);
+            status.version += 1;
         });
     }
 
     /// Sets the available rights under which the claimer is woken.
-    pub fn set_low(&self, low: Tokens) {
-        self.low.store(low, Ordering::Relaxed);
+    pub fn set_wake_threshold(&self, threshold: Tokens) {
+        self.wake_threshold.store(threshold, Ordering::Relaxed);
     }
 
     /// Notes how long a claim took.
-    pub fn note_claim(&self, took: Duration) {
+    pub fn record_claim_time(&self, took: Duration) {
         let old = self.claim_time.load(Ordering::Relaxed);
         let new = took.as_micros() as u64;
         // An average over about eight claims.
@@ -331,15 +331,15 @@
     }
 }
 
-fn holding(holder: &Holder) -> HolderState {
+fn holder_state(holder: &Holder) -> HolderState {
     HolderState {
         held: holder.held,
-        relay_time: DETOUR,
+        relay_time: RELAY_TIME,
         is_reachable: true,
     }
 }
 
-fn busy(retry: Duration) -> Refusal {
+fn budget_busy(retry: Duration) -> Refusal {
     let detail = "the budget's tokens are held by another router";
     let retry = retry.max(Duration::from_secs(1));
     Refusal::not_run(RefusalKind::BudgetBusy, detail).with_retry(retry)
--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -41,12 +41,12 @@
 pub async fn admit(node: &Node, request: &mut Incoming) -> Result<Call, Refusal> {
     match try_admit(node, request).await {
         Ok(call) => Ok(call),
-        Err(refusal) => Err(judge(node, request.headers(), refusal)),
+        Err(refusal) => Err(adjust_refusal(node, request.headers(), refusal)),
     }
 }
 
 /// The refusal as it is when the request names a key that was dispatched here before.
-fn judge(node: &Node, headers: &HeaderMap, refusal: Refusal) -> Refusal {
+fn adjust_refusal(node: &Node, headers: &HeaderMap, refusal: Refusal) -> Refusal {
     let config = node.config.load();
     let sender = bearer(headers).and_then(|secret| authenticate(&config, secret, false));
     let Ok(sender) = sender else {
@@ -76,7 +76,7 @@
     let config = node.config.load();
     let sender = authenticate(&config, bearer(request.headers())?, node.is_stale())?;
     let options = options(request.headers())?;
-    take_new_work(node)?;
+    check_accepting(node)?;
     let body = read_body(request, node.settings.body_limit).await?;
     let original = Original {
         method: request.method().clone(),
@@ -100,7 +100,7 @@
 }
 
 /// Whether this router takes new work at all.
-fn take_new_work(node: &Node) -> Result<(), Refusal> {
+fn check_accepting(node: &Node) -> Result<(), Refusal> {
     if node.is_stopping() {
         let detail = "this router is stopping";
         return Err(unavailable(detail));
@@ -135,7 +135,7 @@
 }
 
 /// What the parts of a call have to say about it.
-struct Parts {
+struct CallParts {
     pool: Arc<Pool>,
     spec: Arc<PoolSpec>,
     once: bool,
@@ -155,7 +155,7 @@
             stream: body.stream,
             prefix: prefix_hash(&body),
         };
-        let parts = Parts {
+        let parts = CallParts {
             pool,
             spec,
             once: self.options.once,
@@ -170,7 +170,7 @@
         let (pool, spec) = self.pool(name, PoolKind::Service)?;
         let method = original.method.as_str();
         let once = self.options.once || spec.once.iter().any(|once| once == method);
-        let parts = Parts {
+        let parts = CallParts {
             tokens: spec.call_tokens,
             pool,
             spec,
@@ -198,7 +198,7 @@
             from: seen.saturating_add(1),
             token,
         };
-        let parts = Parts {
+        let parts = CallParts {
             pool,
             spec,
             // Reading on runs nothing, so it may be repeated.
@@ -229,7 +229,7 @@
         self,
         original: Original,
         key: Option<RequestKey>,
-        parts: Parts,
+        parts: CallParts,
     ) -> Result<Call, Refusal> {
         let workspace = &self.sender.workspace;
         let wanted = self.options.class.as_ref();
@@ -245,8 +245,8 @@
         let evicted = self
             .node
             .members
-            .seat(&budget)
-            .map_or(0, |seat| seat.evicted_ms);
+            .find(&budget)
+            .map_or(0, |membership| membership.evicted_ms);
         let now = wall_ms();
         let has_key = key.is_some();
         let key = key.unwrap_or_else(|| RequestKey::generate(now));
@@ -257,7 +257,7 @@
         };
         let key_use = taken.map_err(key_refusal)?;
         // After the key is in use: a stop that begins now waits for this request.
-        take_new_work(self.node)?;
+        check_accepting(self.node)?;
         let identity = identity(&key_use, has_key, &original);
         let limit = Duration::from_millis(self.node.settings.deadline_ms);
         let deadline = Instant::now() + self.options.deadline.unwrap_or(limit).min(limit);
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -75,7 +75,7 @@
 
 /// What a whole answer is made of.
 #[derive(Debug, Clone)]
-pub struct Whole {
+pub struct CompleteAnswer {
     /// The engine's id of the answer.
     pub id: String,
     /// The model's name.
@@ -85,46 +85,46 @@
     /// A chat completion rather than a plain one.
     pub chat: bool,
     /// Text, end and usage.
-    pub ended: FinishedAnswer,
+    pub finished: FinishedAnswer,
 }
 
 /// The body of a whole answer.
 #[must_use]
-pub fn whole(whole: &Whole, receipt: Receipt) -> Bytes {
-    let ended = &whole.ended;
-    let mut choice = ended.choice.clone();
-    let object = if whole.chat {
-        choice.insert("message".to_owned(), message(ended));
+pub fn body(answer: &CompleteAnswer, receipt: Receipt) -> Bytes {
+    let finished = &answer.finished;
+    let mut choice = finished.choice.clone();
+    let object = if answer.chat {
+        choice.insert("message".to_owned(), message(finished));
         "chat.completion"
     } else {
-        let text = ended.text.as_deref().unwrap_or_default();
+        let text = finished.text.as_deref().unwrap_or_default();
         choice.insert("text".to_owned(), json!(text));
         "text_completion"
     };
     choice.insert("index".to_owned(), json!(0));
-    choice.insert("finish_reason".to_owned(), json!(ended.finish));
-    let body = json!({
-        "id": whole.id,
+    choice.insert("finish_reason".to_owned(), json!(finished.finish));
+    let value = json!({
+        "id": answer.id,
         "object": object,
-        "created": whole.created / 1_000,
-        "model": whole.model,
+        "created": answer.created / 1_000,
+        "model": answer.model,
         "choices": [choice],
-        "usage": ended.usage,
+        "usage": finished.usage,
         "swiftlink": receipt.json(),
     });
-    body.to_string().into()
+    value.to_string().into()
 }
 
 /// The message of a whole chat answer.
-fn message(ended: &FinishedAnswer) -> Value {
-    let mut message = ended.message.clone();
+fn message(finished: &FinishedAnswer) -> Value {
+    let mut message = finished.message.clone();
     message.insert("role".to_owned(), json!("assistant"));
     // A message of tool calls alone has a null for its text.
-    let is_bare = ended.text.is_none() && !message.contains_key("tool_calls");
+    let is_bare = finished.text.is_none() && !message.contains_key("tool_calls");
     let text = if is_bare {
         Some("")
     } else {
-        ended.text.as_deref()
+        finished.text.as_deref()
     };
     message.insert("content".to_owned(), json!(text));
     Value::Object(message)
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -125,7 +125,7 @@
 
     /// Time left until its deadline.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -145,7 +145,7 @@
                 limit: self.class.queue as usize,
             },
             key: self.identity,
-            left: self.left(),
+            left: self.time_left(),
         }
     }
 }
--- a/crates/router/src/charge.rs
+++ b/crates/router/src/charge.rs
@@ -19,8 +19,8 @@
 use tokio::time::{Instant, timeout};
 
 use crate::keys::KeyHold;
-use crate::ledgers::{Ledgers, order};
-use crate::members::{Seat, Stay};
+use crate::ledgers::{Ledgers, by_preference};
+use crate::members::{Membership, WorkGuard};
 use crate::past::PastRuns;
 
 /// Pause after all ledgers failed to take a charge.
@@ -69,7 +69,7 @@
     metrics: Metrics,
     counts: ChargeCounts,
     /// Longest wait for one ledger to store a charge.
-    try_time: Duration,
+    attempt_timeout: Duration,
     /// Longest wait of an answer's end.
     wait: Duration,
     retry: Duration,
@@ -92,7 +92,7 @@
             runtime,
             metrics,
             counts: ChargeCounts::default(),
-            try_time: settings.ledger_try(),
+            attempt_timeout: settings.ledger_try(),
             wait: Duration::from_millis(settings.settle_wait_ms),
             retry: Duration::from_millis(settings.settle_retry_ms),
         })
@@ -115,56 +115,56 @@
     /// the charge, or after the wait that an answer's end is given. The answer is what
     /// the key was charged before, if the ledger knows of it: the charge is void then.
     ///
-    /// The charge is followed to the log's word once the [`Carrier`] is dropped, which
+    /// The charge is followed to the log's word once the [`ChargeGuard`] is dropped, which
     /// the request does when its answer's end is on the way.
     pub async fn settle(
         self: &Arc<Self>,
-        seat: &Arc<Seat>,
+        membership: &Arc<Membership>,
         cost: Cost,
         hold: KeyHold,
-    ) -> (Option<Tokens>, Carrier) {
+    ) -> (Option<Tokens>, ChargeGuard) {
         let progress = Arc::new(Progress::default());
         let key = cost.key;
         let job = Job {
             settler: Arc::clone(self),
-            seat: seat.stay(),
-            serial: seat.next_serial(),
+            membership: membership.continue_work(),
+            serial: membership.next_serial(),
             cost,
             _hold: hold,
             start: Instant::now(),
             is_stored: false,
-            told: None,
+            stored_tx: None,
             progress: Arc::clone(&progress),
         };
         self.counts.pending.fetch_add(1, Ordering::Relaxed);
-        let mut carrier = Carrier {
+        let mut guard = ChargeGuard {
             job: Some(job),
             replies: None,
         };
         // The first ledger is asked from this thread: it saves the end of the answer
         // two changes of thread.
-        if let Some(ledger) = order(self.ledgers.far()).first() {
-            if let Some((charged, replies)) = carrier.job().store(&ledger.client).await {
-                carrier.replies = Some(replies);
-                return (charged, carrier);
+        if let Some(ledger) = by_preference(self.ledgers.far()).first() {
+            if let Some((charged, replies)) = guard.job().store(&ledger.client).await {
+                guard.replies = Some(replies);
+                return (charged, guard);
             }
-            ledger.shun();
+            ledger.deprioritize();
         }
         let (sender, stored) = oneshot::channel();
-        carrier.job().told = Some(sender);
-        let left = self.wait.saturating_sub(carrier.job().start.elapsed());
-        carrier.depart();
-        let told = timeout(left, stored).await;
-        if told.is_err() {
+        guard.job().stored_tx = Some(sender);
+        let left = self.wait.saturating_sub(guard.job().start.elapsed());
+        guard.detach();
+        let outcome = timeout(left, stored).await;
+        if outcome.is_err() {
             // Before the answer's end goes out: its caller's next request must find it.
             self.note_stuck(&progress, key);
         }
-        (told.ok().and_then(Result::ok).flatten(), carrier)
+        (outcome.ok().and_then(Result::ok).flatten(), guard)
     }
 
     /// Notes that no ledger stored the charge of `key` within the wait.
     fn note_stuck(&self, progress: &Progress, key: RequestKey) {
-        if !progress.get_stuck() {
+        if !progress.set_stuck() {
             return;
         }
         self.counts.stuck.fetch_add(1, Ordering::Relaxed);
@@ -186,19 +186,19 @@
 /// Holds a charge on the thread of its answer. Dropped, for whatever reason, it lets
 /// the charge go on in the background.
 #[derive(Debug)]
-pub struct Carrier {
+pub struct ChargeGuard {
     job: Option<Job>,
     /// Where the log's word comes from, if a ledger has stored the charge.
     replies: Option<ReplyStream>,
 }
 
-impl Carrier {
+impl ChargeGuard {
     fn job(&mut self) -> &mut Job {
         self.job.as_mut().expect("taken only when departing")
     }
 
     /// Goes on in the background.
-    fn depart(&mut self) {
+    fn detach(&mut self) {
         if let Some(job) = self.job.take() {
             let runtime = job.settler.runtime.clone();
             runtime.spawn(job.run(self.replies.take()));
@@ -206,9 +206,9 @@
     }
 }
 
-impl Drop for Carrier {
+impl Drop for ChargeGuard {
     fn drop(&mut self) {
-        self.depart();
+        self.detach();
     }
 }
 
@@ -217,7 +217,7 @@
 struct Job {
     settler: Arc<Settler>,
     /// Incarnation that is charged.
-    seat: Stay,
+    membership: WorkGuard,
     serial: u64,
     cost: Cost,
     _hold: KeyHold,
@@ -225,7 +225,7 @@
     /// Some ledger has it, or the log has decided it.
     is_stored: bool,
     /// Who waits for the storing.
-    told: Option<oneshot::Sender<Option<Tokens>>>,
+    stored_tx: Option<oneshot::Sender<Option<Tokens>>>,
     progress: Arc<Progress>,
 }
 
@@ -239,7 +239,7 @@
     const STORED: u8 = 2;
 
     /// The wait is over. Says whether that is news.
-    fn get_stuck(&self) -> bool {
+    fn set_stuck(&self) -> bool {
         let (old, new) = (Self::WAITING, Self::STUCK);
         let changed = self
             .0
@@ -248,7 +248,7 @@
     }
 
     /// A ledger has it. Says whether it was stuck.
-    fn get_stored(&self) -> bool {
+    fn set_stored(&self) -> bool {
         self.0.swap(Self::STORED, Ordering::AcqRel) == Self::STUCK
     }
 }
@@ -260,18 +260,18 @@
         let ledgers = Arc::clone(&self.settler.ledgers);
         let mut retry = self.settler.retry;
         if let Some(mut replies) = replies
-            && let Some(fate) = self.follow(&mut replies, retry).await
+            && let Some(fate) = self.wait_fate(&mut replies, retry).await
         {
             return self.finish(fate);
         }
         loop {
-            for ledger in order(ledgers.far()) {
+            for ledger in by_preference(ledgers.far()) {
                 if let Some((_, mut replies)) = self.store(&ledger.client).await
-                    && let Some(fate) = self.follow(&mut replies, retry).await
+                    && let Some(fate) = self.wait_fate(&mut replies, retry).await
                 {
                     return self.finish(fate);
                 }
-                ledger.shun();
+                ledger.deprioritize();
                 self.note_stuck();
             }
             if self.is_stored {
@@ -285,13 +285,13 @@
     /// Hands the charge to one ledger and waits until it has stored it; the answer
     /// begins with what the key was charged before, as far as the ledger knows.
     async fn store(&mut self, client: &Arc<Client>) -> Option<(Option<Tokens>, ReplyStream)> {
-        let limit = self.settler.try_time;
+        let limit = self.settler.attempt_timeout;
         let settle = request::Kind::Settle(self.message());
         let opened = timeout(limit, client.stream(settle)).await;
         let mut replies = opened.ok()?.ok()?;
         match replies.next_within(limit).await?.ok()? {
             reply::Kind::Stored(stored) => {
-                self.note_stored(stored.charged_cost);
+                self.on_stored(stored.charged_cost);
                 Some((stored.charged_cost, replies))
             }
             _ => None,
@@ -299,7 +299,11 @@
     }
 
     /// Waits for the log's word on a charge that a ledger has stored.
-    async fn follow(&mut self, replies: &mut ReplyStream, limit: Duration) -> Option<ChargeFate> {
+    async fn wait_fate(
+        &mut self,
+        replies: &mut ReplyStream,
+        limit: Duration,
+    ) -> Option<ChargeFate> {
         let reply = timeout(limit, replies.next()).await.ok()??.ok()?;
         match reply {
             reply::Kind::Submitted(submitted) => Some(first_fate(&submitted)),
@@ -317,26 +321,26 @@
             serial: self.serial,
         };
         Settle {
-            stream: stream_of(self.seat.shard).to_string(),
+            stream: stream_of(self.membership.shard).to_string(),
             charges: Some(wire::Charges {
-                incarnation: Some((&self.seat.incarnation).into()),
+                incarnation: Some((&self.membership.incarnation).into()),
                 items: vec![charge],
             }),
         }
     }
 
-    fn note_stored(&mut self, charged: Option<Tokens>) {
+    fn on_stored(&mut self, charged: Option<Tokens>) {
         if self.is_stored {
             return;
         }
         self.is_stored = true;
-        if let Some(told) = self.told.take() {
+        if let Some(stored_tx) = self.stored_tx.take() {
             // The answer's end may have stopped waiting.
-            let _sent = told.send(charged);
+            let _sent = stored_tx.send(charged);
         }
         let us = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX);
         self.settler.metrics.time_us("charge.stored", us);
-        if self.progress.get_stored() {
+        if self.progress.set_stored() {
             self.settler.counts.stuck.fetch_sub(1, Ordering::Relaxed);
             event!(info, "charge.unstuck", key = self.cost.key);
         }
@@ -369,7 +373,7 @@
                 let Cost { workspace, key, .. } = &self.cost;
                 self.settler.past.note_void(workspace, *key);
                 // The log drew nothing, so the rights are still held here.
-                if let Some(account) = self.seat.find(&self.cost.budget) {
+                if let Some(account) = self.membership.find(&self.cost.budget) {
                     account.grant.credit(self.cost.cost);
                 }
             }
@@ -382,7 +386,7 @@
                     key = self.cost.key,
                     reason = "released"
                 );
-                self.seat.retire();
+                self.membership.retire();
             }
             ChargeFate::Overdrawn | ChargeFate::Unspecified => {
                 counts.overdrawn.fetch_add(1, Ordering::Relaxed);
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -3,7 +3,7 @@
 //! A claim that got no answer is submitted again, the same record, until the log
 //! has decided it: its rights may have been granted.
 
-mod news;
+mod budget_view;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,14 +23,14 @@
 use crate::account::{Account, Holder};
 use crate::config::ConfigView;
 use crate::ledgers::Ledgers;
-use crate::members::Seat;
+use crate::members::Membership;
 
 /// Time between looks at the demand of an account in use.
-const TICK: Duration = Duration::from_millis(500);
+const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
 /// Least time between two looks, so that no run of claims or wakes keeps a thread busy.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const MIN_CYCLE_TIME: Duration = Duration::from_millis(5);
 /// Pause of a claimer whose waiters must be answered from the last news.
-const TOLD_PAUSE: Duration = Duration::from_millis(20);
+const WAITER_INTERVAL: Duration = Duration::from_millis(20);
 /// First and largest pause between submissions of one record.
 const RETRY_BASE: Duration = Duration::from_millis(100);
 const RETRY_CAP: Duration = Duration::from_secs(2);
@@ -65,16 +65,17 @@
 
 impl Claimers {
     /// Starts the claimer of `account`.
-    pub fn spawn(&self, seat: &Arc<Seat>, account: &Arc<Account>) {
+    pub fn spawn(&self, membership: &Arc<Membership>, account: &Arc<Account>) {
         let context = Arc::clone(&self.context);
-        let seat = Arc::clone(seat);
+        let membership = Arc::clone(membership);
         let account = Arc::clone(account);
         let run = async move {
-            let (told, view) = watch::channel(BudgetView::default());
-            let claimer = Claimer::new(Arc::clone(&context), seat, Arc::clone(&account), view);
+            let (view_tx, view) = watch::channel(BudgetView::default());
+            let claimer =
+                Claimer::new(Arc::clone(&context), membership, Arc::clone(&account), view);
             tokio::select! {
                 () = claimer.run() => {}
-                () = news::follow(&context, &account, &told) => {}
+                () = budget_view::follow(&context, &account, &view_tx) => {}
             }
         };
         self.tasks.spawn_on(run, &self.runtime);
@@ -84,7 +85,7 @@
 /// The claimer of one account.
 struct Claimer {
     context: Arc<ClaimContext>,
-    seat: Arc<Seat>,
+    membership: Arc<Membership>,
     account: Arc<Account>,
     sizer: DemandSizer,
     policy: SizerPolicy,
@@ -101,7 +102,7 @@
     #[must_use]
     pub fn new(
         context: Arc<ClaimContext>,
-        seat: Arc<Seat>,
+        membership: Arc<Membership>,
         account: Arc<Account>,
         view: watch::Receiver<BudgetView>,
     ) -> Self {
@@ -111,7 +112,7 @@
         };
         Self {
             context,
-            seat,
+            membership,
             account,
             sizer: DemandSizer::new(policy),
             policy,
@@ -126,31 +127,31 @@
     /// Claims and returns until stopped or until the incarnation is retired.
     pub async fn run(mut self) {
         let stop = self.context.stop.clone();
-        while !stop.is_cancelled() && !self.seat.is_retired() {
+        while !stop.is_cancelled() && !self.membership.is_retired() {
             self.refresh();
-            let is_claimed = self.look().await;
+            let is_claimed = self.run_once().await;
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = tokio::time::sleep(LOOK_PAUSE) => {}
+                () = tokio::time::sleep(MIN_CYCLE_TIME) => {}
             }
             if !is_claimed {
                 self.sleep().await;
             }
         }
         // Those who still wait are told that nothing more comes.
-        self.account.tell(|news| {
-            news.is_out = true;
-            news.at = Some(Instant::now());
+        self.account.update_status(|status| {
+            status.is_failed = true;
+            status.updated_at = Some(Instant::now());
         });
     }
 
     /// Makes at most one claim or return; whether a claim was made.
-    async fn look(&mut self) -> bool {
+    async fn run_once(&mut self) -> bool {
         let now = self.now();
         // Before the demand: a request that has stopped to wait is counted there.
         let waiting = self.account.waiting();
         self.sizer.observe(now, self.account.grant.demand());
-        self.account.set_low(self.sizer.target(now) / 2);
+        self.account.set_wake_threshold(self.sizer.target(now) / 2);
         let available = self.account.grant.available();
         if let Some(size) = self.sizer.claim(now, available, waiting) {
             self.claim(size).await;
@@ -158,7 +159,8 @@
         }
         if waiting.min_cost > available {
             // In a pause between claims the last answer stands.
-            self.account.tell(|news| news.at = Some(Instant::now()));
+            self.account
+                .update_status(|status| status.updated_at = Some(Instant::now()));
         } else if let Some(extra) = self.sizer.surplus(now, available) {
             self.give_back(extra).await;
         }
@@ -169,7 +171,11 @@
         let available = self.account.grant.available();
         let is_short = self.account.waiting().min_cost > available;
         let is_idle = available == 0 && !is_short;
-        let tick = if is_short { TOLD_PAUSE } else { TICK };
+        let tick = if is_short {
+            WAITER_INTERVAL
+        } else {
+            DEMAND_INTERVAL
+        };
         tokio::select! {
             () = self.context.stop.cancelled() => {}
             () = self.account.wake.notified() => {}
@@ -195,16 +201,16 @@
         }
         let topped_up = config.topped_up(self.account.budget.as_str());
         if topped_up > self.topped_up {
-            let free = self.account.news().free + (topped_up - self.topped_up);
+            let free = self.account.claim_status().free + (topped_up - self.topped_up);
             self.topped_up = topped_up;
             let now = self.now();
             self.sizer.on_budget(now, topped_up, free, self.sharers);
         }
-        self.hear();
+        self.read_view();
     }
 
     /// Takes what a ledger says of the budget.
-    fn hear(&mut self) {
+    fn read_view(&mut self) {
         if !self.view.has_changed().unwrap_or(false) {
             return;
         }
@@ -219,7 +225,7 @@
     async fn claim(&mut self, size: ClaimSize) {
         self.seq += 1;
         let claim = Claim {
-            incarnation: Some((&self.seat.incarnation).into()),
+            incarnation: Some((&self.membership.incarnation).into()),
             budget: self.account.budget.to_string(),
             seq: self.seq,
             need: size.need,
@@ -231,7 +237,7 @@
         match decided.fate {
             fate::Kind::Claim(fate) => {
                 if let Some(took) = decided.took {
-                    self.account.note_claim(took);
+                    self.account.record_claim_time(took);
                 }
                 self.apply(size, &fate);
             }
@@ -244,16 +250,16 @@
                     budget = budget,
                     reason = reason.as_str_name()
                 );
-                self.seat.note_rejection(reason);
+                self.membership.on_rejection(reason);
                 let now = self.now();
                 self.sizer.on_failed(now);
-                self.fail();
+                self.mark_failed();
             }
             other => {
                 event!(error, "claim.fate", fate = format!("{other:?}"));
                 let now = self.now();
                 self.sizer.on_failed(now);
-                self.fail();
+                self.mark_failed();
             }
         }
     }
@@ -284,12 +290,12 @@
             elsewhere = fate.elsewhere,
         );
         let holders: Arc<[Holder]> = fate.holders.iter().filter_map(read_holder).collect();
-        self.account.tell(|news| {
-            news.at = Some(Instant::now());
-            news.is_out = false;
-            news.free = fate.free;
-            news.elsewhere = fate.elsewhere;
-            news.holders = holders;
+        self.account.update_status(|status| {
+            status.updated_at = Some(Instant::now());
+            status.is_failed = false;
+            status.free = fate.free;
+            status.held_elsewhere = fate.elsewhere;
+            status.holders = holders;
         });
     }
 
@@ -299,7 +305,7 @@
         if taken == 0 {
             return;
         }
-        let kind = record::Kind::GiveBack(self.account.give_back(&self.seat));
+        let kind = record::Kind::GiveBack(self.account.give_back(&self.membership));
         let _decided = self.decide(kind).await;
         event!(
             debug,
@@ -314,12 +320,12 @@
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
         let start = Instant::now();
         let mut is_first = true;
-        let mut said = false;
+        let mut is_logged = false;
         loop {
             let context = &self.context;
             let submitted = tokio::select! {
                 () = context.stop.cancelled() => return None,
-                submitted = context.ledgers.submit(self.seat.shard, kind.clone(), context.wait)
+                submitted = context.ledgers.submit(self.membership.shard, kind.clone(), context.wait)
                     => submitted,
             };
             match submitted {
@@ -327,21 +333,21 @@
                     let took = is_first.then(|| start.elapsed());
                     return Some(Decided { fate, took });
                 }
-                Err(error) if !said => {
+                Err(error) if !is_logged => {
                     event!(
                         warn,
                         "claim.waits",
                         budget = self.account.budget,
                         why = error
                     );
-                    said = true;
+                    is_logged = true;
                 }
                 Err(_) => {}
             }
             is_first = false;
             let now = self.now();
             self.sizer.on_failed(now);
-            self.fail();
+            self.mark_failed();
             tokio::select! {
                 () = self.context.stop.cancelled() => return None,
                 () = tokio::time::sleep(backoff.next(rand::random())) => {}
@@ -349,10 +355,10 @@
         }
     }
 
-    fn fail(&self) {
-        self.account.tell(|news| {
-            news.at = Some(Instant::now());
-            news.is_out = true;
+    fn mark_failed(&self) {
+        self.account.update_status(|status| {
+            status.updated_at = Some(Instant::now());
+            status.is_failed = true;
         });
     }
 
@@ -371,9 +377,9 @@
 impl Account {
     /// The record that returns all rights taken out of use so far.
     #[must_use]
-    pub fn give_back(&self, seat: &Seat) -> Return {
+    pub fn give_back(&self, membership: &Membership) -> Return {
         Return {
-            incarnation: Some((&seat.incarnation).into()),
+            incarnation: Some((&membership.incarnation).into()),
             budget: self.budget.to_string(),
             total: self.grant.counters().returned,
         }
--- a/crates/router/src/claim/news.rs
+++ b/crates/router/src/claim/budget_view.rs
@@ -10,46 +10,46 @@
 
 use super::ClaimContext;
 use crate::account::Account;
-use crate::ledgers::order;
+use crate::ledgers::by_preference;
 
 /// Time between two reads.
-const PERIOD: Duration = Duration::from_secs(1);
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for a ledger's answer.
-const WAIT: Duration = Duration::from_millis(400);
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Reads the budget's view about once a second in which requests asked for rights.
 pub(super) async fn follow(
     context: &ClaimContext,
     account: &Account,
-    told: &watch::Sender<BudgetView>,
+    view_tx: &watch::Sender<BudgetView>,
 ) {
     let mut seen = 0;
     loop {
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(READ_INTERVAL).await;
         let requests = account.grant.demand().requests;
         if requests == seen {
             continue;
         }
         if let Some(view) = read(context, account).await {
             seen = requests;
-            told.send_replace(view);
+            view_tx.send_replace(view);
         }
     }
 }
 
 /// What the nearest connected ledger knows of the budget.
 async fn read(context: &ClaimContext, account: &Account) -> Option<BudgetView> {
-    let ledgers = order(context.ledgers.near());
+    let ledgers = by_preference(context.ledgers.near());
     let ledger = ledgers.first()?;
-    let ask = GetBudgets {
+    let query = GetBudgets {
         names: vec![account.budget.to_string()],
     };
-    let kind = request::Kind::GetBudgets(ask);
-    match ledger.client.call(kind, WAIT).await {
+    let kind = request::Kind::GetBudgets(query);
+    match ledger.client.call(kind, READ_TIMEOUT).await {
         Ok(reply::Kind::Budgets(budgets)) => budgets.items.into_iter().next(),
         Ok(_) => None,
         Err(_) => {
-            ledger.shun();
+            ledger.deprioritize();
             None
         }
     }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -25,16 +25,16 @@
 use crate::pings::NEVER_MS;
 
 /// A ledger that sends no page for so long is left for another.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Age from which on the log counts as out. Ledgers tell their knowledge of its end
 /// at least every second.
-const LOG_SILENCE: Duration = Duration::from_millis(2_500);
+const LOG_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// First and largest pause between tries.
 const RETRY_BASE: Duration = Duration::from_millis(50);
 const RETRY_CAP: Duration = Duration::from_millis(1_000);
 
 /// Time of the view's clock at its start: what a ledger knew long before can be told.
-const START: Micros = 1 << 60;
+const CLOCK_START: Micros = 1 << 60;
 
 /// The published configuration; reading it takes no lock.
 #[derive(Debug)]
@@ -45,9 +45,9 @@
     freshness: Mutex<Freshness>,
     /// Time of this view's clock of which the configuration is known
     /// to be the newest, plus one; 0 before the first.
-    known: AtomicU64,
+    confirmed_at: AtomicU64,
     /// The same for the moment until which it may be taken for the newest.
-    until: AtomicU64,
+    trusted_until: AtomicU64,
     /// Offset of the configuration stream that is read next.
     offset: AtomicU64,
     changed: watch::Sender<u64>,
@@ -62,8 +62,8 @@
             pools,
             start: Instant::now(),
             freshness: Mutex::new(freshness),
-            known: AtomicU64::new(0),
-            until: AtomicU64::new(0),
+            confirmed_at: AtomicU64::new(0),
+            trusted_until: AtomicU64::new(0),
             offset: AtomicU64::new(0),
             changed: watch::Sender::new(0),
         })
@@ -78,14 +78,14 @@
     /// Time since the configuration was known to be the newest; `None` before the first.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        let known = self.known.load(Ordering::Relaxed).checked_sub(1)?;
+        let known = self.confirmed_at.load(Ordering::Relaxed).checked_sub(1)?;
         Some(Duration::from_micros(self.now().saturating_sub(known)))
     }
 
     /// Whether a newer configuration may exist; true before the first.
     #[must_use]
     pub fn is_stale(&self) -> bool {
-        let until = self.until.load(Ordering::Relaxed).checked_sub(1);
+        let until = self.trusted_until.load(Ordering::Relaxed).checked_sub(1);
         until.is_none_or(|until| self.now() > until)
     }
 
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn trust(&self) -> Trust {
         let now = self.now();
-        self.freshness().judge(now)
+        self.freshness().trust_at(now)
     }
 
     /// Offset of the configuration stream that is read next.
@@ -105,19 +105,19 @@
     /// Time of this view's clock.
     #[must_use]
     pub fn now(&self) -> Micros {
-        START.saturating_add(micros(self.start.elapsed()))
+        CLOCK_START.saturating_add(micros(self.start.elapsed()))
     }
 
     /// Notes the answer of ledger number `ledger` of the nearest first.
-    pub fn hear(&self, ledger: usize, pong: Pong) {
-        self.judge(|freshness| freshness.pong(ledger, pong));
+    pub fn on_pong(&self, ledger: usize, pong: Pong) {
+        self.update_freshness(|freshness| freshness.on_pong(ledger, pong));
     }
 
     /// Whether no ledger has heard from the log lately, as far as this router knows:
     /// what needs the log's word need not wait for it.
     #[must_use]
     pub fn is_log_silent(&self) -> bool {
-        self.age().is_none_or(|age| age > LOG_SILENCE)
+        self.age().is_none_or(|age| age > LOG_TIMEOUT)
     }
 
     /// Tells of each new version.
@@ -142,8 +142,8 @@
     /// Notes that the configuration was the newest `age` ago, perhaps before the start.
     pub fn confirm(&self, age: Duration) {
         let known = self.now().saturating_sub(micros(age));
-        self.known.fetch_max(known + 1, Ordering::Relaxed);
-        self.judge(|freshness| freshness.page(known));
+        self.confirmed_at.fetch_max(known + 1, Ordering::Relaxed);
+        self.update_freshness(|freshness| freshness.on_page(known));
     }
 
     fn freshness(&self) -> std::sync::MutexGuard<'_, Freshness> {
@@ -153,11 +153,13 @@
     }
 
     /// Takes news in, and publishes until when the configuration may be trusted.
-    fn judge(&self, news: impl FnOnce(&mut Freshness)) {
+    fn update_freshness(&self, update: impl FnOnce(&mut Freshness)) {
         let mut freshness = self.freshness();
-        news(&mut freshness);
-        let until = freshness.until().map_or(0, |until| until.saturating_add(1));
-        self.until.store(until, Ordering::Relaxed);
+        update(&mut freshness);
+        let until = freshness
+            .trusted_until()
+            .map_or(0, |until| until.saturating_add(1));
+        self.trusted_until.store(until, Ordering::Relaxed);
     }
 }
 
@@ -179,7 +181,7 @@
     };
     let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
     let mut index = 0;
-    let mut said = false;
+    let mut is_logged = false;
     while !stop.is_cancelled() {
         let ledger = &ledgers.near()[index % ledgers.near().len()];
         index += 1;
@@ -190,11 +192,11 @@
         match outcome {
             Ok(()) => {
                 backoff.reset();
-                said = false;
+                is_logged = false;
             }
-            Err(why) if !said => {
+            Err(why) if !is_logged => {
                 event!(warn, "config.source-lost", why = why);
-                said = true;
+                is_logged = true;
             }
             Err(_) => {}
         }
@@ -227,17 +229,17 @@
         let mut replies = opened.map_err(|error| describe(&error))?;
         let mut served = false;
         loop {
-            let reply = match timeout(SILENCE, replies.next()).await {
+            let reply = match timeout(PAGE_TIMEOUT, replies.next()).await {
                 Ok(Some(reply)) => reply,
-                Ok(None) => return left(served, "ledger ended the stream".to_owned()),
-                Err(_elapsed) => return left(served, "ledger silent".to_owned()),
+                Ok(None) => return on_source_end(served, "ledger ended the stream".to_owned()),
+                Err(_elapsed) => return on_source_end(served, "ledger silent".to_owned()),
             };
             let page = match reply {
                 Ok(reply::Kind::Page(page)) => page,
-                Ok(_) => return left(served, "unexpected reply to a follow".to_owned()),
-                Err(error) => return left(served, describe_stream(&error)),
+                Ok(_) => return on_source_end(served, "unexpected reply to a follow".to_owned()),
+                Err(error) => return on_source_end(served, describe_stream(&error)),
             };
-            self.take(&page)?;
+            self.apply(&page)?;
             served = true;
             if Duration::from_millis(page.age_ms) > self.stale / 2 {
                 return Err("ledger has lost the log".to_owned());
@@ -245,7 +247,7 @@
         }
     }
 
-    fn take(&mut self, page: &Page) -> Result<(), String> {
+    fn apply(&mut self, page: &Page) -> Result<(), String> {
         self.replica
             .feed(page.first, &page.records)
             .map_err(|error| error.to_string())?;
@@ -255,15 +257,15 @@
             return Ok(());
         };
         self.view.publish(state.config());
-        let is_told = page.age_ms < NEVER_MS;
-        if is_told && self.replica.is_ready() && self.replica.next() >= page.next {
+        let is_age_known = page.age_ms < NEVER_MS;
+        if is_age_known && self.replica.is_ready() && self.replica.next() >= page.next {
             self.view.confirm(Duration::from_millis(page.age_ms));
         }
         Ok(())
     }
 }
 
-fn left(served: bool, why: String) -> Result<(), String> {
+fn on_source_end(served: bool, why: String) -> Result<(), String> {
     if served {
         event!(info, "config.source-left", why = why);
         return Ok(());
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -25,9 +25,9 @@
 use swiftlink_gateway::upstream::{PendingResponse, SendError, send};
 
 /// When to come back after a deadline that passed before an answer.
-const LATE_RETRY: Duration = Duration::from_secs(1);
+const DEADLINE_RETRY: Duration = Duration::from_secs(1);
 /// Most of an engine's refusal that is passed on (bytes).
-const EXCERPT: usize = 1_024;
+const MAX_EXCERPT: usize = 1_024;
 
 /// The rights and the history of one request's dispatches.
 #[derive(Debug, Default)]
@@ -76,7 +76,7 @@
 
     /// The refusal as it is when a server may have run the request.
     #[must_use]
-    pub fn judge(&self, refusal: Refusal) -> Refusal {
+    pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         if !self.maybe_ran {
             return refusal;
         }
@@ -89,7 +89,7 @@
 
 /// An answer that has begun to come.
 #[derive(Debug)]
-pub struct Opened {
+pub struct ServerResponse {
     /// The answer.
     pub answer: PendingResponse,
     /// The server that gives it.
@@ -101,7 +101,7 @@
 /// # Errors
 /// When no server takes work, or the queue refuses.
 pub async fn wait_slot(call: &Call) -> Result<Slot, Refusal> {
-    let (open, retry) = call.pool.opening();
+    let (open, retry) = call.pool.availability();
     if open == 0 {
         return Err(no_server(&call.pool.name, retry));
     }
@@ -120,17 +120,17 @@
     prefix: u64,
     is_model: bool,
     make: impl Fn(&Target) -> Request<Full<Bytes>>,
-) -> Result<Opened, Refusal> {
+) -> Result<ServerResponse, Refusal> {
     loop {
-        let left = call.left();
+        let left = call.time_left();
         if left.is_zero() {
             let detail = "the deadline has passed";
             let late = Refusal::not_run(RefusalKind::Overloaded, detail);
-            return Err(attempt.judge(late.with_retry(LATE_RETRY)));
+            return Err(attempt.adjust_refusal(late.with_retry(DEADLINE_RETRY)));
         }
         let Some(target) = call.pool.choose(prefix, &attempt.tried, !call.once) else {
-            let (_open, retry) = call.pool.opening();
-            return Err(attempt.judge(no_server(&call.pool.name, retry)));
+            let (_open, retry) = call.pool.availability();
+            return Err(attempt.adjust_refusal(no_server(&call.pool.name, retry)));
         };
         attempt.tried.push(target.idx);
         attempt.dispatch();
@@ -149,7 +149,7 @@
                     continue;
                 }
                 if !is_model || response.status() == StatusCode::OK {
-                    return Ok(Opened { answer, target });
+                    return Ok(ServerResponse { answer, target });
                 }
                 failed_status(call, attempt, target, answer).await?;
             }
@@ -201,7 +201,9 @@
 ) -> Result<(), Refusal> {
     let status = answer.response.status();
     let (response, _lease) = answer.split();
-    let body = Limited::new(response.into_body(), EXCERPT).collect().await;
+    let body = Limited::new(response.into_body(), MAX_EXCERPT)
+        .collect()
+        .await;
     let bytes = body.map(|body| body.to_bytes()).unwrap_or_default();
     let excerpt = String::from_utf8_lossy(&bytes).into_owned();
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
--- a/crates/router/src/dump.rs
+++ b/crates/router/src/dump.rs
@@ -7,7 +7,7 @@
 use swiftlink_shell::Dump;
 
 use crate::fleet::Pool;
-use crate::health::{Facts, Trouble};
+use crate::health::{HealthInputs, HealthIssue};
 use crate::node::Node;
 
 /// Shows a node's state.
@@ -25,22 +25,22 @@
 
     fn grants(&self) -> Vec<Value> {
         let mut grants = Vec::new();
-        for seat in self.node.members.seats() {
-            for account in seat.accounts() {
+        for membership in self.node.members.all() {
+            for account in membership.accounts() {
                 let counters = account.grant.counters();
-                let news = account.news();
+                let status = account.claim_status();
                 grants.push(json!({
                     "budget": account.budget.as_str(),
-                    "shard": seat.shard,
+                    "shard": membership.shard,
                     "available": counters.available,
                     "reserved": counters.reserved,
                     "charged": counters.charged,
                     "granted": counters.granted,
                     "returned": counters.returned,
                     "waiting": account.waiting().total_cost,
-                    "log_out": news.is_out,
-                    "free": news.free,
-                    "elsewhere": news.elsewhere,
+                    "log_out": status.is_failed,
+                    "free": status.free,
+                    "elsewhere": status.held_elsewhere,
                 }));
             }
         }
@@ -64,10 +64,10 @@
     fn dump(&self) -> Value {
         let node = &self.node;
         let mut value = self.status();
-        let seats = node.members.seats();
-        let seats: Vec<_> = seats
+        let memberships = node.members.all();
+        let memberships: Vec<_> = memberships
             .iter()
-            .map(|seat| json!({"shard": seat.shard, "incarnation": seat.incarnation.to_string()}))
+            .map(|membership| json!({"shard": membership.shard, "incarnation": membership.incarnation.to_string()}))
             .collect();
         let ledgers: Vec<_> = node
             .ledgers
@@ -83,7 +83,7 @@
             .collect();
         let pools: Vec<_> = node.pools.all().iter().map(show_pool).collect();
         if let Value::Object(fields) = &mut value {
-            fields.insert("seats".to_owned(), Value::Array(seats));
+            fields.insert("seats".to_owned(), Value::Array(memberships));
             fields.insert("ledgers".to_owned(), Value::Array(ledgers));
             fields.insert("pools".to_owned(), Value::Array(pools));
             fields.insert("keys_held".to_owned(), json!(node.keys.held()));
@@ -94,9 +94,9 @@
     fn status(&self) -> Value {
         let node = &self.node;
         let common = &node.settings.common;
-        let facts = Facts::of(node);
-        let troubles = facts.troubles().into_iter().map(Trouble::as_str);
-        let troubles: Vec<_> = troubles.collect();
+        let inputs = HealthInputs::of(node);
+        let issues = inputs.issues().into_iter().map(HealthIssue::as_str);
+        let issues: Vec<_> = issues.collect();
         let mut queue = Vec::new();
         for pool in node.pools.all() {
             let (waiting, in_flight) = pool.queue.depth();
@@ -115,8 +115,8 @@
             "version": node.config.load().version,
             "version_age_ms": node.config.age().map(|age| age.as_millis() as u64),
             "log_offset": node.config.offset(),
-            "configuration": facts.trust.as_str(),
-            "troubles": troubles,
+            "configuration": inputs.trust.as_str(),
+            "troubles": issues,
             "shards": node.settings.shards,
             "joined": node.members.joined(),
             "stopping": node.is_stopping(),
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -31,7 +31,7 @@
     let headers = request.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(ACCEPT, HeaderValue::from_static("text/event-stream"));
-    mark(headers, key, weight);
+    add_headers(headers, key, weight);
     request
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// Adds the request key and the class weight.
-pub fn mark(headers: &mut HeaderMap, key: RequestKey, weight: u32) {
+pub fn add_headers(headers: &mut HeaderMap, key: RequestKey, weight: u32) {
     if let Ok(value) = HeaderValue::from_str(&key.to_string()) {
         headers.insert(KEY_HEADER, value);
     }
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -20,7 +20,7 @@
 
 /// Times to the first token below this differ by prompts and by the engines' steps,
 /// not by queues at the engines; they don't take slots away.
-const FIRST_TOKEN_MIN: Duration = Duration::from_millis(250);
+const MIN_FIRST_TOKEN: Duration = Duration::from_millis(250);
 
 /// One pool: its queue, its servers and its retries.
 #[derive(Debug)]
@@ -56,14 +56,14 @@
     fn new(
         name: PoolName,
         is_model: bool,
-        home: DomainName,
+        domain: DomainName,
         subset: usize,
         seed: u64,
     ) -> Arc<Self> {
         let policy = FleetPolicy {
             subset,
             seed,
-            ..FleetPolicy::new(home)
+            ..FleetPolicy::new(domain)
         };
         Arc::new(Self {
             queue: PoolQueue::new(name.clone()),
@@ -128,7 +128,7 @@
     /// Whether some server takes new work, and when one may be tried again if all
     /// are ejected.
     #[must_use]
-    pub fn opening(&self) -> (usize, Option<Duration>) {
+    pub fn availability(&self) -> (usize, Option<Duration>) {
         let fleet = self.lock();
         (fleet.open_len(), fleet.probe_in(self.now()))
     }
@@ -153,7 +153,7 @@
     }
 
     /// Takes the VM list.
-    pub fn on_listed(&self, list: &[ListedVm]) {
+    pub fn set_vm_list(&self, list: &[ListedVm]) {
         self.change(|fleet, _now| fleet.set_vm_list(list));
     }
 
@@ -215,7 +215,7 @@
         let took = Duration::from_micros(now.saturating_sub(sent.at));
         self.pool.lock().on_first_token(sent, now);
         if self.pool.is_model {
-            self.pool.queue.on_first_token(took.max(FIRST_TOKEN_MIN));
+            self.pool.queue.on_first_token(took.max(MIN_FIRST_TOKEN));
         }
     }
 
@@ -237,9 +237,9 @@
         self.pool.change(|fleet, now| fleet.on_draining(idx, now));
     }
 
-    fn end(&mut self, how: impl FnOnce(&mut Fleet, Dispatch, Micros)) {
+    fn end(&mut self, finish: impl FnOnce(&mut Fleet, Dispatch, Micros)) {
         if let Some(sent) = self.sent.take() {
-            how(&mut self.pool.lock(), sent, self.pool.now());
+            finish(&mut self.pool.lock(), sent, self.pool.now());
         }
     }
 }
@@ -254,18 +254,18 @@
 #[derive(Debug)]
 pub struct Pools {
     pools: HashMap<PoolName, Arc<Pool>>,
-    home: DomainName,
+    domain: DomainName,
     subset: usize,
     seed: u64,
 }
 
 impl Pools {
-    /// No pools yet, for a router in `home`; `seed` sets its subsets apart.
+    /// No pools yet, for a router in `domain`; `seed` sets its subsets apart.
     #[must_use]
-    pub fn new(home: DomainName, subset: usize, seed: u64) -> Arc<Self> {
+    pub fn new(domain: DomainName, subset: usize, seed: u64) -> Arc<Self> {
         Arc::new(Self {
             pools: HashMap::new(),
-            home,
+            domain,
             subset,
             seed,
         })
@@ -284,8 +284,8 @@
     }
 
     fn open(&self, name: &PoolName, is_model: bool) -> Arc<Pool> {
-        let home = self.home.clone();
-        Pool::new(name.clone(), is_model, home, self.subset, self.seed)
+        let domain = self.domain.clone();
+        Pool::new(name.clone(), is_model, domain, self.subset, self.seed)
     }
 
     /// Takes a new configuration. Not to be called by two tasks at once.
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -15,7 +15,7 @@
 use swiftlink_gateway::upstream::Lease;
 
 /// Headers that concern one connection only.
-const HOP: [HeaderName; 9] = [
+const HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     HOST,
@@ -27,13 +27,13 @@
     UPGRADE,
 ];
 /// Prefix of this system's own headers.
-const OWN: &str = "swiftlink-";
+const OWN_PREFIX: &str = "swiftlink-";
 
 /// The headers without those of one connection.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
-    for name in HOP {
+    for name in HOP_HEADERS {
         kept.remove(name);
     }
     kept.remove("keep-alive");
@@ -56,7 +56,7 @@
     kept.remove(AUTHORIZATION);
     let own: Vec<_> = kept
         .keys()
-        .filter(|name| name.as_str().starts_with(OWN))
+        .filter(|name| name.as_str().starts_with(OWN_PREFIX))
         .cloned()
         .collect();
     for name in own {
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -16,14 +16,14 @@
 
 /// Path of the health report on the callers' address.
 pub const PATH: &str = "/health";
-/// Time between two looks.
-const PERIOD: Duration = Duration::from_millis(500);
+/// Time between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Looks between two sends of the gauges.
-const GAUGE_EVERY: u32 = 10;
+const CHECKS_PER_GAUGE: u32 = 10;
 
 /// A reason for which a router doesn't take work, or some of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum HealthIssue {
     /// It is stopping.
     Stopping,
     /// Its VM is declared gone for good: all new work is refused.
@@ -38,7 +38,7 @@
     NotJoined,
 }
 
-impl Trouble {
+impl HealthIssue {
     /// All of them.
     pub const ALL: [Self; 6] = [
         Self::Stopping,
@@ -64,14 +64,14 @@
 
     /// Whether a balancer should send its callers elsewhere.
     #[must_use]
-    pub fn turns_away(self) -> bool {
+    pub fn makes_unready(self) -> bool {
         self != Self::NotJoined
     }
 }
 
-/// What the troubles are judged by.
+/// What the issues are judged by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
+pub struct HealthInputs {
     /// A planned stop has begun.
     pub stopping: bool,
     /// An operator states that its VM is gone for good.
@@ -86,8 +86,8 @@
     pub shards: usize,
 }
 
-impl Facts {
-    /// The facts about `node` now.
+impl HealthInputs {
+    /// The inputs about `node` now.
     #[must_use]
     pub fn of(node: &Node) -> Self {
         Self {
@@ -100,94 +100,94 @@
         }
     }
 
-    /// The troubles, the one that refuses most first.
+    /// The issues, the one that refuses most first.
     #[must_use]
-    pub fn troubles(&self) -> Vec<Trouble> {
-        let holds = |trouble: &Trouble| match trouble {
-            Trouble::Stopping => self.stopping,
-            Trouble::DeclaredGone => self.retired,
-            Trouble::NoConfiguration => self.trust == Trust::None,
-            Trouble::Stale => self.trust == Trust::Stale,
-            Trouble::Stuck => self.stuck > 0,
-            Trouble::NotJoined => self.joined < self.shards,
+    pub fn issues(&self) -> Vec<HealthIssue> {
+        let holds = |issue: &HealthIssue| match issue {
+            HealthIssue::Stopping => self.stopping,
+            HealthIssue::DeclaredGone => self.retired,
+            HealthIssue::NoConfiguration => self.trust == Trust::None,
+            HealthIssue::Stale => self.trust == Trust::Stale,
+            HealthIssue::Stuck => self.stuck > 0,
+            HealthIssue::NotJoined => self.joined < self.shards,
         };
-        Trouble::ALL.into_iter().filter(holds).collect()
+        HealthIssue::ALL.into_iter().filter(holds).collect()
     }
 }
 
 /// The answer to a balancer: whether callers should be sent here.
 #[must_use]
 pub fn respond(node: &Node) -> Response {
-    let mut troubles = Facts::of(node).troubles();
-    troubles.retain(|trouble| trouble.turns_away());
-    let Some(first) = troubles.first() else {
+    let mut issues = HealthInputs::of(node).issues();
+    issues.retain(|issue| issue.makes_unready());
+    let Some(first) = issues.first() else {
         return web::json(StatusCode::OK, &json!({ "status": "ready" }));
     };
     let body = json!({ "status": "unready", "reason": first.as_str() });
     web::json(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
-/// Tells of troubles that begin and end, and sends the gauges, until `stop`.
+/// Tells of issues that begin and end, and sends the gauges, until `stop`.
 pub async fn watch(node: Arc<Node>, stop: CancellationToken) {
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut known = Vec::new();
-    let mut looks = 0_u32;
+    let mut checks = 0_u32;
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        let facts = Facts::of(&node);
-        let troubles = facts.troubles();
-        if troubles != known {
-            tell(&known, &troubles);
+        let inputs = HealthInputs::of(&node);
+        let issues = inputs.issues();
+        if issues != known {
+            log_changes(&known, &issues);
         }
-        if troubles != known || looks.is_multiple_of(GAUGE_EVERY) {
-            gauges(&node, &facts, &troubles);
+        if issues != known || checks.is_multiple_of(CHECKS_PER_GAUGE) {
+            send_gauges(&node, &inputs, &issues);
         }
-        known = troubles;
-        looks = looks.wrapping_add(1);
+        known = issues;
+        checks = checks.wrapping_add(1);
     }
 }
 
-fn tell(known: &[Trouble], troubles: &[Trouble]) {
-    for trouble in troubles {
-        if known.contains(trouble) {
+fn log_changes(known: &[HealthIssue], issues: &[HealthIssue]) {
+    for issue in issues {
+        if known.contains(issue) {
             continue;
         }
-        event!(warn, "router.trouble", reason = trouble.as_str());
+        event!(warn, "router.trouble", reason = issue.as_str());
     }
-    for trouble in known {
-        if troubles.contains(trouble) {
+    for issue in known {
+        if issues.contains(issue) {
             continue;
         }
-        event!(info, "router.trouble-over", reason = trouble.as_str());
+        event!(info, "router.trouble-over", reason = issue.as_str());
     }
 }
 
-fn gauges(node: &Node, facts: &Facts, troubles: &[Trouble]) {
+fn send_gauges(node: &Node, inputs: &HealthInputs, issues: &[HealthIssue]) {
     let metrics = &node.metrics;
-    for trouble in Trouble::ALL {
-        let tags = [("reason", trouble.as_str())];
-        let value = u64::from(troubles.contains(&trouble));
+    for issue in HealthIssue::ALL {
+        let tags = [("reason", issue.as_str())];
+        let value = u64::from(issues.contains(&issue));
         metrics.gauge_with("router.trouble", value, &tags);
     }
     let mut waiting = 0;
     for pool in node.pools.all() {
         waiting += pool.queue.depth().0 as u64;
     }
-    let mut rights = 0_u64;
-    for seat in node.members.seats() {
-        for account in seat.accounts() {
+    let mut quota = 0_u64;
+    for membership in node.members.all() {
+        for account in membership.accounts() {
             let counters = account.grant.counters();
-            rights = rights.saturating_add(counters.available + counters.reserved);
+            quota = quota.saturating_add(counters.available + counters.reserved);
         }
     }
     metrics.gauge("router.queue", waiting);
     metrics.gauge("router.in_flight", node.keys.in_flight() as u64);
-    metrics.gauge("router.rights", rights);
-    metrics.gauge("router.stuck_charges", facts.stuck as u64);
+    metrics.gauge("router.rights", quota);
+    metrics.gauge("router.stuck_charges", inputs.stuck as u64);
     if let Some(age) = node.config.age() {
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         metrics.gauge("router.config_age_ms", age);
--- a/crates/router/src/intent.rs
+++ b/crates/router/src/intent.rs
@@ -19,13 +19,13 @@
 
 use crate::keys::KeyUse;
 use crate::ledgers::Ledgers;
-use crate::members::Seat;
+use crate::members::Membership;
 
 /// First and largest pause between submissions of an abandonment.
 const RETRY_BASE: Duration = Duration::from_millis(200);
 const RETRY_CAP: Duration = Duration::from_secs(5);
 /// Longest wait for one of them.
-const ABANDON_WAIT: Duration = Duration::from_secs(2);
+const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
 /// When to come back while the log is out.
 const LOG_RETRY: Duration = Duration::from_secs(2);
 /// When to come back to a key that is in use elsewhere.
@@ -33,7 +33,7 @@
 
 /// What this process has done with the run of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spent {
+pub enum KeyOutcome {
     /// Dispatched: no copy may run, here or elsewhere.
     Dispatched,
     /// Abandoned: no copy may run here, another router may.
@@ -49,7 +49,7 @@
     wait: Duration,
     stop: CancellationToken,
     /// The log lets an owner's copy win again, so the owner itself must remember.
-    spent: HashMap<(WorkspaceName, RequestKey), Spent>,
+    outcomes: HashMap<(WorkspaceName, RequestKey), KeyOutcome>,
     /// Abandonments that the log has not decided yet; closed once it has.
     undecided: HashMap<(WorkspaceName, RequestKey), watch::Receiver<()>>,
 }
@@ -71,13 +71,13 @@
             tasks,
             wait,
             stop,
-            spent: HashMap::new(),
+            outcomes: HashMap::new(),
             undecided: HashMap::new(),
         })
     }
 
     /// Waits until no abandonment of the key is on its way to the log.
-    pub async fn freed(&self, workspace: &WorkspaceName, key: RequestKey) {
+    pub async fn wait_abandoned(&self, workspace: &WorkspaceName, key: RequestKey) {
         let id = (workspace.clone(), key);
         let found = self.undecided.pin().get(&id).cloned();
         if let Some(mut decided) = found {
@@ -88,44 +88,46 @@
 
     /// What this process has done with the run of the key, if anything.
     #[must_use]
-    pub fn spent(&self, key_use: &KeyUse) -> Option<Spent> {
+    pub fn outcome(&self, key_use: &KeyUse) -> Option<KeyOutcome> {
         let id = (key_use.workspace().clone(), key_use.key());
-        self.spent.pin().get(&id).copied()
+        self.outcomes.pin().get(&id).copied()
     }
 
     /// Forgets the keys created before `floor`, which no router accepts any more.
     pub fn forget(&self, floor: WallMs) {
-        self.spent.pin().retain(|id, _| id.1.created_ms() >= floor);
+        self.outcomes
+            .pin()
+            .retain(|id, _| id.1.created_ms() >= floor);
     }
 
-    /// Wins the run of a key on the incarnation of `seat`, within `left`.
+    /// Wins the run of a key on the incarnation of `membership`, within `left`.
     ///
     /// # Errors
     /// When another run owns the key, or the log doesn't decide in time; then this
     /// router will never dispatch the request.
     pub async fn win(
         self: &Arc<Self>,
-        seat: &Arc<Seat>,
+        membership: &Arc<Membership>,
         key_use: &KeyUse,
         budget: &BudgetName,
         left: Duration,
     ) -> Result<Intent, Refusal> {
         let record = wire::Intent {
-            incarnation: Some((&seat.incarnation).into()),
+            incarnation: Some((&membership.incarnation).into()),
             key: key_use.key().as_bytes().to_vec(),
             workspace: key_use.workspace().to_string(),
             budget: budget.to_string(),
         };
         let intent = Intent {
             intents: Arc::clone(self),
-            seat: Arc::clone(seat),
+            membership: Arc::clone(membership),
             record: record.clone(),
             id: (key_use.workspace().clone(), key_use.key()),
-            is_open: true,
+            is_pending: true,
         };
         let wait = self.wait.min(left);
         let kind = record::Kind::Intent(record);
-        let decided = self.ledgers.submit(seat.shard, kind, wait).await;
+        let decided = self.ledgers.submit(membership.shard, kind, wait).await;
         match decided {
             Ok(fate::Kind::Intent(fate)) if fate.won => Ok(intent),
             Ok(fate::Kind::Intent(fate)) => {
@@ -134,7 +136,7 @@
             }
             Ok(fate::Kind::Rejected(rejected)) => {
                 intent.close();
-                seat.note_rejection(rejected.reason());
+                membership.on_rejection(rejected.reason());
                 Err(rejected_refusal(rejected.reason()))
             }
             Ok(other) => {
@@ -163,7 +165,10 @@
         let kind = record::Kind::Abandon(abandon);
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
         loop {
-            let decided = self.ledgers.submit(shard, kind.clone(), ABANDON_WAIT).await;
+            let decided = self
+                .ledgers
+                .submit(shard, kind.clone(), ABANDON_TIMEOUT)
+                .await;
             if decided.is_ok() {
                 return;
             }
@@ -179,45 +184,45 @@
 #[derive(Debug)]
 pub struct Intent {
     intents: Arc<Intents>,
-    seat: Arc<Seat>,
+    membership: Arc<Membership>,
     record: wire::Intent,
     id: (WorkspaceName, RequestKey),
-    is_open: bool,
+    is_pending: bool,
 }
 
 impl Intent {
     /// The one dispatch begins: from now on the intent can't be abandoned.
     pub fn dispatch(&mut self) {
-        self.is_open = false;
-        self.remember(Spent::Dispatched);
+        self.is_pending = false;
+        self.remember(KeyOutcome::Dispatched);
     }
 
     /// The dispatch certainly did not reach a backend server.
     pub fn recall(&mut self) {
-        self.is_open = true;
+        self.is_pending = true;
     }
 
-    fn remember(&self, spent: Spent) {
-        self.intents.spent.pin().insert(self.id.clone(), spent);
+    fn remember(&self, outcome: KeyOutcome) {
+        self.intents.outcomes.pin().insert(self.id.clone(), outcome);
     }
 
     /// The log has decided against it; there is nothing to abandon.
     fn close(mut self) {
-        self.is_open = false;
+        self.is_pending = false;
     }
 }
 
 impl Drop for Intent {
     fn drop(&mut self) {
-        if !self.is_open {
+        if !self.is_pending {
             return;
         }
-        self.remember(Spent::Abandoned);
+        self.remember(KeyOutcome::Abandoned);
         let intents = Arc::clone(&self.intents);
         let id = self.id.clone();
         let (undecided, decided) = watch::channel(());
         intents.undecided.pin().insert(id.clone(), decided);
-        let (shard, record) = (self.seat.shard, self.record.clone());
+        let (shard, record) = (self.membership.shard, self.record.clone());
         let work = async move {
             Arc::clone(&intents).abandon(shard, record).await;
             intents.undecided.pin().remove(&id);
--- a/crates/router/src/keys.rs
+++ b/crates/router/src/keys.rs
@@ -12,9 +12,9 @@
 use swiftlink_types::{RequestKey, WallMs, WorkspaceName};
 
 /// How far in the future a caller's clock may be.
-const FUTURE_MS: WallMs = 60_000;
+const MAX_AHEAD_MS: WallMs = 60_000;
 /// How far the marked floor stays behind the oldest acceptable key.
-const MARGIN_MS: WallMs = 60_000;
+const FLOOR_MARGIN_MS: WallMs = 60_000;
 
 /// Why a key can't be taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -109,7 +109,7 @@
 
     fn check_age(&self, key: RequestKey, now: WallMs, evicted: WallMs) -> Result<(), KeyRefusal> {
         let created = key.created_ms();
-        if created > now.saturating_add(FUTURE_MS) {
+        if created > now.saturating_add(MAX_AHEAD_MS) {
             return Err(KeyRefusal::Future);
         }
         if created < now.saturating_sub(self.window) || created < evicted {
@@ -137,8 +137,8 @@
 
     /// Raises the floor at wall time `now` and returns what a mark may promise:
     /// every key created before it is settled, and none of them is accepted any more.
-    pub fn raise(&self, now: WallMs) -> WallMs {
-        let target = now.saturating_sub(self.window + MARGIN_MS);
+    pub fn raise_floor(&self, now: WallMs) -> WallMs {
+        let target = now.saturating_sub(self.window + FLOOR_MARGIN_MS);
         let before = self.floor.fetch_max(target, Ordering::SeqCst);
         let mut floor = before.max(target);
         for (id, ()) in &self.used.pin() {
--- a/crates/router/src/ledgers.rs
+++ b/crates/router/src/ledgers.rs
@@ -19,7 +19,7 @@
 /// Pause before all ledgers are asked again when none took a record.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 /// Time for which a ledger that failed is asked only after the others.
-const SHUN_TIME: Duration = Duration::from_secs(1);
+const DEPRIORITIZE_TIME: Duration = Duration::from_secs(1);
 
 /// One ledger as this router sees it.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     pub domain: DomainName,
     start: Instant,
     /// Microseconds from `start` until which it is asked after the others.
-    shunned: AtomicU64,
+    deprioritized_until: AtomicU64,
 }
 
 impl Ledger {
@@ -39,35 +39,35 @@
             client,
             domain: DomainName::from(domain),
             start: Instant::now(),
-            shunned: AtomicU64::new(0),
+            deprioritized_until: AtomicU64::new(0),
         })
     }
 
     /// Asks it only after the others for a while.
-    pub fn shun(&self) {
-        let until = self.start.elapsed() + SHUN_TIME;
-        self.shunned
+    pub fn deprioritize(&self) {
+        let until = self.start.elapsed() + DEPRIORITIZE_TIME;
+        self.deprioritized_until
             .store(until.as_micros() as u64, Ordering::Relaxed);
     }
 
-    fn is_shunned(&self) -> bool {
+    fn is_deprioritized(&self) -> bool {
         let now = self.start.elapsed().as_micros() as u64;
-        now < self.shunned.load(Ordering::Relaxed)
+        now < self.deprioritized_until.load(Ordering::Relaxed)
     }
 }
 
 /// The connected ledgers of `list` in order, those that failed lately last.
 #[must_use]
-pub fn order(list: &[Arc<Ledger>]) -> Vec<&Arc<Ledger>> {
-    let mut order: Vec<_> = list.iter().filter(|ledger| ledger.client.is_up()).collect();
-    order.sort_by_key(|ledger| ledger.is_shunned());
-    order
+pub fn by_preference(list: &[Arc<Ledger>]) -> Vec<&Arc<Ledger>> {
+    let mut sorted: Vec<_> = list.iter().filter(|ledger| ledger.client.is_up()).collect();
+    sorted.sort_by_key(|ledger| ledger.is_deprioritized());
+    sorted
 }
 
 /// No ledger could have the record decided in time; it may still be.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("no ledger decided the record: {0}")]
-pub struct Undecided(pub String);
+pub struct UndecidedError(pub String);
 
 /// All ledgers, in this router's order of preference.
 #[derive(Debug)]
@@ -76,7 +76,7 @@
     near: Vec<Arc<Ledger>>,
     /// Other failure domains first.
     far: Vec<Arc<Ledger>>,
-    try_time: Duration,
+    attempt_timeout: Duration,
 }
 
 impl Ledgers {
@@ -100,7 +100,7 @@
         // Routers of one domain start at different ledgers of the others, so that
         // the loss of a ledger doesn't move all of them to the same one.
         if !others.is_empty() {
-            let start = spread(&common.vm, others.len());
+            let start = start_index(&common.vm, others.len());
             others.rotate_left(start);
         }
         let near = own.iter().chain(&others).map(Arc::clone).collect();
@@ -108,7 +108,7 @@
         Self {
             near,
             far,
-            try_time: settings.ledger_try(),
+            attempt_timeout: settings.ledger_try(),
         }
     }
 
@@ -134,39 +134,39 @@
         shard: u32,
         kind: record::Kind,
         wait: Duration,
-    ) -> Result<fate::Kind, Undecided> {
+    ) -> Result<fate::Kind, UndecidedError> {
         let until = Instant::now() + wait;
         let mut why = String::from("no ledger is connected");
         loop {
-            for ledger in order(&self.near) {
+            for ledger in by_preference(&self.near) {
                 let left = until.saturating_duration_since(Instant::now());
                 if left.is_zero() {
-                    return Err(Undecided(why));
+                    return Err(UndecidedError(why));
                 }
-                match self.try_one(&ledger.client, shard, &kind, left).await {
+                match self.submit_to(&ledger.client, shard, &kind, left).await {
                     Ok(fate) => return Ok(fate),
                     Err(error) => {
-                        ledger.shun();
+                        ledger.deprioritize();
                         why = error;
                     }
                 }
             }
             let left = until.saturating_duration_since(Instant::now());
             if left <= ROUND_PAUSE {
-                return Err(Undecided(why));
+                return Err(UndecidedError(why));
             }
             tokio::time::sleep(ROUND_PAUSE).await;
         }
     }
 
-    async fn try_one(
+    async fn submit_to(
         &self,
         client: &Client,
         shard: u32,
         kind: &record::Kind,
         left: Duration,
     ) -> Result<fate::Kind, String> {
-        let wait = left.min(self.try_time);
+        let wait = left.min(self.attempt_timeout);
         let record = Record {
             kind: Some(kind.clone()),
         };
@@ -213,7 +213,7 @@
 }
 
 /// A start index that differs between VMs.
-fn spread(vm: &str, count: usize) -> usize {
+fn start_index(vm: &str, count: usize) -> usize {
     let sum: usize = vm.bytes().map(usize::from).sum();
     sum % count
 }
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -28,14 +28,14 @@
 use crate::ledgers::Ledgers;
 
 /// Longest wait for the fate of one join or mark.
-const DECIDE_WAIT: Duration = Duration::from_secs(2);
+const DECIDE_TIMEOUT: Duration = Duration::from_secs(2);
 /// First and largest pause between tries.
 const RETRY_BASE: Duration = Duration::from_millis(100);
 const RETRY_CAP: Duration = Duration::from_secs(2);
 
 /// One incarnation of this router on one budget stream.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Membership {
     /// Number of the stream.
     pub shard: u32,
     /// Its name on the stream.
@@ -45,14 +45,14 @@
     serial: AtomicU64,
     retired: AtomicBool,
     /// Wakes the keeper at the retirement.
-    left: Notify,
-    stays: AtomicUsize,
+    retirement: Notify,
+    pending_work: AtomicUsize,
     /// Wakes the keeper when the last stay on a retired incarnation ends.
-    empty: Notify,
+    drained: Notify,
     accounts: HashMap<BudgetName, Arc<Account>>,
 }
 
-impl Seat {
+impl Membership {
     /// An incarnation that has just joined.
     #[must_use]
     pub fn new(shard: u32, incarnation: Incarnation, evicted_ms: WallMs) -> Arc<Self> {
@@ -62,9 +62,9 @@
             evicted_ms,
             serial: AtomicU64::new(0),
             retired: AtomicBool::new(false),
-            left: Notify::new(),
-            stays: AtomicUsize::new(0),
-            empty: Notify::new(),
+            retirement: Notify::new(),
+            pending_work: AtomicUsize::new(0),
+            drained: Notify::new(),
             accounts: HashMap::new(),
         })
     }
@@ -107,46 +107,46 @@
 
     /// Begins work that may be charged to this incarnation; `None` once it is retired.
     #[must_use]
-    pub fn enter(self: &Arc<Self>) -> Option<Stay> {
+    pub fn begin_work(self: &Arc<Self>) -> Option<WorkGuard> {
         // Counted first: whoever sees the incarnation retired and empty knows that no
         // later work begins on it.
-        let stay = self.stay();
-        (!self.is_retired()).then_some(stay)
+        let guard = self.continue_work();
+        (!self.is_retired()).then_some(guard)
     }
 
     /// Goes on with work that has begun on this incarnation.
     #[must_use]
-    pub fn stay(self: &Arc<Self>) -> Stay {
-        self.stays.fetch_add(1, Ordering::SeqCst);
-        Stay {
-            seat: Arc::clone(self),
+    pub fn continue_work(self: &Arc<Self>) -> WorkGuard {
+        self.pending_work.fetch_add(1, Ordering::SeqCst);
+        WorkGuard {
+            membership: Arc::clone(self),
         }
     }
 
     /// Requests and charges that are under way on this incarnation.
     #[must_use]
-    pub fn stays(&self) -> usize {
-        self.stays.load(Ordering::SeqCst)
+    pub fn pending_work(&self) -> usize {
+        self.pending_work.load(Ordering::SeqCst)
     }
 
     /// Whether the router may join anew: the incarnation is retired, and nothing is
     /// left that may be charged to it.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.is_retired() && self.stays() == 0
+    pub fn is_drained(&self) -> bool {
+        self.is_retired() && self.pending_work() == 0
     }
 
     /// Waits until a retired incarnation is over.
-    pub async fn over(&self) {
-        while !self.is_over() {
-            self.empty.notified().await;
+    pub async fn drained(&self) {
+        while !self.is_drained() {
+            self.drained.notified().await;
         }
     }
 
     /// Notes that the log has retired this incarnation.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::SeqCst);
-        self.left.notify_one();
+        self.retirement.notify_one();
     }
 
     /// Whether the log has retired this incarnation.
@@ -156,7 +156,7 @@
     }
 
     /// Looks at a rejection: an incarnation that is unknown or retired is left.
-    pub fn note_rejection(&self, reason: RejectReason) {
+    pub fn on_rejection(&self, reason: RejectReason) {
         if matches!(
             reason,
             RejectReason::Retired | RejectReason::UnknownIncarnation
@@ -170,65 +170,67 @@
 /// charge is decided or it is certain that there will be none. Rights that stay
 /// reserved since the end of a run isn't known are no work: they are never charged.
 #[derive(Debug)]
-pub struct Stay {
-    seat: Arc<Seat>,
+pub struct WorkGuard {
+    membership: Arc<Membership>,
 }
 
-impl Deref for Stay {
-    type Target = Arc<Seat>;
+impl Deref for WorkGuard {
+    type Target = Arc<Membership>;
 
-    fn deref(&self) -> &Arc<Seat> {
-        &self.seat
+    fn deref(&self) -> &Arc<Membership> {
+        &self.membership
     }
 }
 
-impl Drop for Stay {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
-        let was_last = self.seat.stays.fetch_sub(1, Ordering::SeqCst) == 1;
-        if was_last && self.seat.is_retired() {
-            self.seat.empty.notify_one();
+        let was_last = self.membership.pending_work.fetch_sub(1, Ordering::SeqCst) == 1;
+        if was_last && self.membership.is_retired() {
+            self.membership.drained.notify_one();
         }
     }
 }
 
 /// The memberships on all budget streams.
 #[derive(Debug)]
-pub struct Members {
-    seats: Box<[ArcSwapOption<Seat>]>,
+pub struct Memberships {
+    by_shard: Box<[ArcSwapOption<Membership>]>,
 }
 
-impl Members {
+impl Memberships {
     /// No membership yet on any of `shards` streams.
     #[must_use]
     pub fn new(shards: u32) -> Arc<Self> {
-        let seats = (0..shards).map(|_| ArcSwapOption::empty()).collect();
-        Arc::new(Self { seats })
+        let by_shard = (0..shards).map(|_| ArcSwapOption::empty()).collect();
+        Arc::new(Self { by_shard })
     }
 
     /// The membership that `budget` needs; `None` before its join is decided.
     #[must_use]
-    pub fn seat(&self, budget: &BudgetName) -> Option<Arc<Seat>> {
-        let shard = shard_of(budget.as_str(), self.seats.len() as u32);
-        let seat = self.seats[shard as usize].load_full()?;
-        (!seat.is_retired()).then_some(seat)
+    pub fn find(&self, budget: &BudgetName) -> Option<Arc<Membership>> {
+        let shard = shard_of(budget.as_str(), self.by_shard.len() as u32);
+        let membership = self.by_shard[shard as usize].load_full()?;
+        (!membership.is_retired()).then_some(membership)
     }
 
     /// The memberships in force.
     #[must_use]
-    pub fn seats(&self) -> Vec<Arc<Seat>> {
-        let loaded = self.seats.iter().map(ArcSwapOption::load_full);
+    pub fn all(&self) -> Vec<Arc<Membership>> {
+        let loaded = self.by_shard.iter().map(ArcSwapOption::load_full);
         loaded.flatten().collect()
     }
 
     /// Number of streams joined now.
     #[must_use]
     pub fn joined(&self) -> usize {
-        let seats = self.seats.iter();
-        seats.filter(|seat| seat.load().is_some()).count()
+        let by_shard = self.by_shard.iter();
+        by_shard
+            .filter(|membership| membership.load().is_some())
+            .count()
     }
 
-    fn put(&self, seat: Option<Arc<Seat>>, shard: u32) {
-        self.seats[shard as usize].store(seat);
+    fn set(&self, membership: Option<Arc<Membership>>, shard: u32) {
+        self.by_shard[shard as usize].store(membership);
     }
 }
 
@@ -248,7 +250,7 @@
     /// Keys in use.
     pub keys: Arc<Keys>,
     /// Where the membership is published.
-    pub members: Arc<Members>,
+    pub members: Arc<Memberships>,
     /// Ends the upkeep.
     pub stop: CancellationToken,
 }
@@ -258,18 +260,18 @@
     pub async fn keep(self, shard: u32) {
         let mut epoch = wall_micros();
         while !self.stop.is_cancelled() {
-            let Some(seat) = self.join(shard, epoch).await else {
+            let Some(membership) = self.join(shard, epoch).await else {
                 return;
             };
-            let incarnation = seat.incarnation.to_string();
+            let incarnation = membership.incarnation.to_string();
             event!(
                 info,
                 "shard.joined",
                 shard = shard,
                 incarnation = incarnation
             );
-            self.members.put(Some(Arc::clone(&seat)), shard);
-            self.mark_until_retired(&seat).await;
+            self.members.set(Some(Arc::clone(&membership)), shard);
+            self.mark_until_retired(&membership).await;
             if self.stop.is_cancelled() {
                 return;
             }
@@ -278,25 +280,25 @@
                 "shard.retired",
                 shard = shard,
                 incarnation = incarnation,
-                under_way = seat.stays()
+                under_way = membership.pending_work()
             );
-            self.members.put(None, shard);
-            for account in seat.accounts() {
+            self.members.set(None, shard);
+            for account in membership.accounts() {
                 account.wake.notify_one();
             }
             // A join now would free the rights on which the work under way draws.
             tokio::select! {
                 () = self.stop.cancelled() => return,
-                () = seat.over() => {}
+                () = membership.drained() => {}
             }
-            epoch = wall_micros().max(seat.incarnation.epoch + 1);
+            epoch = wall_micros().max(membership.incarnation.epoch + 1);
         }
     }
 
     /// Joins at `epoch` or above; `None` when stopped before.
-    async fn join(&self, shard: u32, mut epoch: u64) -> Option<Arc<Seat>> {
+    async fn join(&self, shard: u32, mut epoch: u64) -> Option<Arc<Membership>> {
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
-        let mut said = false;
+        let mut is_logged = false;
         loop {
             let incarnation = Incarnation {
                 vm: self.vm.clone(),
@@ -306,16 +308,16 @@
                 incarnation: Some((&incarnation).into()),
                 address: self.address.to_string(),
                 domain: self.domain.to_string(),
-                floor_ms: self.keys.raise(wall_ms()),
+                floor_ms: self.keys.raise_floor(wall_ms()),
             };
             let kind = record::Kind::Join(join);
             let decided = tokio::select! {
                 () = self.stop.cancelled() => return None,
-                decided = self.ledgers.submit(shard, kind, DECIDE_WAIT) => decided,
+                decided = self.ledgers.submit(shard, kind, DECIDE_TIMEOUT) => decided,
             };
             match decided {
                 Ok(fate::Kind::Join(fate)) if fate.active => {
-                    return Some(Seat::new(shard, incarnation, fate.evicted_ms));
+                    return Some(Membership::new(shard, incarnation, fate.evicted_ms));
                 }
                 Ok(fate::Kind::Join(fate)) => {
                     epoch = fate.newest_epoch.max(epoch) + 1;
@@ -329,9 +331,9 @@
                         fate = format!("{other:?}")
                     );
                 }
-                Err(error) if !said => {
+                Err(error) if !is_logged => {
                     event!(warn, "shard.join-waits", shard = shard, why = error);
-                    said = true;
+                    is_logged = true;
                 }
                 Err(_) => {}
             }
@@ -342,25 +344,28 @@
         }
     }
 
-    async fn mark_until_retired(&self, seat: &Seat) {
+    async fn mark_until_retired(&self, membership: &Membership) {
         loop {
             tokio::select! {
                 () = self.stop.cancelled() => return,
-                () = seat.left.notified() => return,
+                () = membership.retirement.notified() => return,
                 () = tokio::time::sleep(self.mark) => {}
             }
-            if seat.is_retired() {
+            if membership.is_retired() {
                 return;
             }
             let mark = Mark {
-                incarnation: Some((&seat.incarnation).into()),
-                floor_ms: self.keys.raise(wall_ms()),
+                incarnation: Some((&membership.incarnation).into()),
+                floor_ms: self.keys.raise_floor(wall_ms()),
             };
             let kind = record::Kind::Mark(mark);
-            let decided = self.ledgers.submit(seat.shard, kind, DECIDE_WAIT).await;
+            let decided = self
+                .ledgers
+                .submit(membership.shard, kind, DECIDE_TIMEOUT)
+                .await;
             // A mark that was not decided is made up for by the next one.
             if let Ok(fate::Kind::Rejected(rejected)) = decided {
-                seat.note_rejection(rejected.reason());
+                membership.on_rejection(rejected.reason());
             }
         }
     }
--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -10,7 +10,7 @@
 
 use crate::answer::tokens_run;
 use crate::call::{Call, ModelWork, Work};
-use crate::dispatch::{Opened, may_retry, open, wait_slot};
+use crate::dispatch::{ServerResponse, may_retry, open, wait_slot};
 use crate::engine;
 use crate::fleet::Target;
 use crate::node::Node;
@@ -51,7 +51,7 @@
                 return sink.fail(refusal).await;
             }
         };
-        let Opened { answer, mut target } = opened;
+        let ServerResponse { answer, mut target } = opened;
         let options = run.node.read_options();
         let mut reader = Reader::new(target.address, answer, 0, options);
         let stream = reader.stream().unwrap_or_default();
@@ -114,7 +114,7 @@
     sink.finish(finished.last, finished.end, receipt).await;
 }
 
-async fn dispatch(run: &mut Run, work: &ModelWork) -> Result<Opened, Refusal> {
+async fn dispatch(run: &mut Run, work: &ModelWork) -> Result<ServerResponse, Refusal> {
     let path = Route::engine_path(work.chat);
     let key = run.call.key();
     let weight = run.call.class.weight;
@@ -138,7 +138,7 @@
 /// The signed token that resumes the stream at any router.
 #[must_use]
 pub fn token(node: &Node, call: &Call, chat: bool, server: &ServerName, stream: &str) -> String {
-    let seat = node.members.seat(&call.budget);
+    let seat = node.members.find(&call.budget);
     let token = ResumeToken {
         key: call.key().as_bytes().to_vec(),
         workspace: call.workspace().to_string(),
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -18,7 +18,7 @@
 use crate::intent::Intents;
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
-use crate::members::Members;
+use crate::members::Memberships;
 use crate::past::PastRuns;
 use crate::peers::Peers;
 use crate::reader::ReadOptions;
@@ -40,7 +40,7 @@
     /// Links to the ledgers.
     pub ledgers: Arc<Ledgers>,
     /// Memberships of the budget streams.
-    pub members: Arc<Members>,
+    pub members: Arc<Memberships>,
     /// Starts the claimers of accounts.
     pub claimers: Claimers,
     /// Request keys in use.
--- a/crates/router/src/pings.rs
+++ b/crates/router/src/pings.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::config::ConfigView;
-use crate::freshness::{Pong, Rule};
+use crate::freshness::{FreshnessPolicy, Pong};
 use crate::ledgers::{Ledger, Ledgers};
 
 /// Time between two pings of a ledger.
@@ -27,11 +27,11 @@
 
 /// The rule by which a configuration is judged, where it is stale by itself over `stale`.
 #[must_use]
-pub fn rule(stale: Duration) -> Rule {
-    Rule {
-        stale: Micros::try_from(stale.as_micros()).unwrap_or(Micros::MAX),
-        pong: PONG_MICROS,
-        out: OUT_MICROS,
+pub fn rule(stale: Duration) -> FreshnessPolicy {
+    FreshnessPolicy {
+        max_age: Micros::try_from(stale.as_micros()).unwrap_or(Micros::MAX),
+        pong_validity: PONG_MICROS,
+        outage_age: OUT_MICROS,
     }
 }
 
@@ -75,9 +75,9 @@
     };
     let age = pong.log_age_ms;
     let pong = Pong {
-        asked,
-        got: view.now(),
+        sent_at: asked,
+        received_at: view.now(),
         log_age: (age < NEVER_MS).then(|| age * MICROS_PER_MS),
     };
-    view.hear(index, pong);
+    view.on_pong(index, pong);
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -127,7 +127,7 @@
     }
 
     async fn try_peer(self, address: SocketAddr) -> Tried {
-        let left = self.call.left();
+        let left = self.call.time_left();
         if left.is_zero() {
             return Tried::NotRun;
         }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -24,7 +24,7 @@
 use crate::intent::Intents;
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
-use crate::members::{Keeper, Members};
+use crate::members::{Keeper, Memberships};
 use crate::node::Node;
 use crate::past::PastRuns;
 use crate::peers::Peers;
@@ -166,7 +166,7 @@
         metrics: shell.metrics.clone(),
         config,
         ledgers,
-        members: Members::new(settings.shards),
+        members: Memberships::new(settings.shards),
         claimers,
         keys: Keys::new(settings.key_window_ms, 0),
         past,
@@ -247,7 +247,7 @@
             () = stop.cancelled() => return,
             changed = versions.changed() => if changed.is_err() { return },
         }
-        for seat in node.members.seats() {
+        for seat in node.members.all() {
             for account in seat.accounts() {
                 account.wake.notify_one();
             }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -21,10 +21,10 @@
 use crate::admit::admit;
 use crate::auth::authenticate;
 use crate::call::{Call, Work};
-use crate::charge::{Carrier, Cost};
+use crate::charge::{ChargeGuard, Cost};
 use crate::dispatch::Attempt;
-use crate::intent::{Spent, lost};
-use crate::members::Stay;
+use crate::intent::{KeyOutcome, lost};
+use crate::members::WorkGuard;
 use crate::node::Node;
 use crate::past::{Past, WholeRun, digest};
 use crate::record::{self, Record};
@@ -113,7 +113,7 @@
         let free = async {
             // The intent is given up when the task ends.
             let _ended = task.await;
-            node.intents.freed(workspace, key).await;
+            node.intents.wait_abandoned(workspace, key).await;
         };
         let _late = timeout(limit, free).await;
     }
@@ -138,7 +138,7 @@
 #[derive(Debug)]
 pub struct Holding {
     /// Work under way on the incarnation.
-    pub seat: Stay,
+    pub seat: WorkGuard,
     /// The rights, until a dispatch takes them over.
     pub reservation: Reservation,
 }
@@ -160,8 +160,8 @@
     }
     match spent(&node, &call) {
         None => {}
-        Some(Spent::Dispatched) => return send(reply, Reply::Refused(lost(false))),
-        Some(Spent::Abandoned) => {
+        Some(KeyOutcome::Dispatched) => return send(reply, Reply::Refused(lost(false))),
+        Some(KeyOutcome::Abandoned) => {
             record.pass();
             let origin = relay::Origin {
                 node: &node,
@@ -198,7 +198,7 @@
         }
         let won = node
             .intents
-            .win(seat, &call.key_use, &call.budget, call.left())
+            .win(seat, &call.key_use, &call.budget, call.time_left())
             .await;
         match won {
             Ok(intent) => attempt.intent = Some(intent),
@@ -226,11 +226,11 @@
 }
 
 /// What this process has done before with the run of a request that must not repeat.
-fn spent(node: &Node, call: &Call) -> Option<Spent> {
+fn spent(node: &Node, call: &Call) -> Option<KeyOutcome> {
     if !call.once {
         return None;
     }
-    node.intents.spent(&call.key_use)
+    node.intents.outcome(&call.key_use)
 }
 
 fn given_up() -> Refusal {
@@ -289,8 +289,8 @@
     if call.bound == 0 && !call.once {
         return Ok(None);
     }
-    let joined = node.members.seat(&call.budget);
-    let Some(seat) = joined.and_then(|seat| seat.enter()) else {
+    let joined = node.members.find(&call.budget);
+    let Some(seat) = joined.and_then(|seat| seat.begin_work()) else {
         return Err(none_here());
     };
     let account = seat.open(&call.budget, &node.claimers);
@@ -301,8 +301,8 @@
         has_log: !node.config.is_log_silent(),
     };
     let reservation = match turn {
-        Turn::First => account.obtain(call.bound, policy, !call.relayed).await?,
-        Turn::AfterRelay => account.obtain_here(call.bound, policy).await?,
+        Turn::First => account.reserve(call.bound, policy, !call.relayed).await?,
+        Turn::AfterRelay => account.reserve_locally(call.bound, policy).await?,
     };
     if seat.is_retired() {
         // Meanwhile; nothing new is begun on rights that are in quarantine.
@@ -327,13 +327,13 @@
     /// The request.
     pub call: Call,
     /// Incarnation that holds its rights; `None` when it costs nothing.
-    pub seat: Option<Stay>,
+    pub seat: Option<WorkGuard>,
     /// Rights, intent and the dispatches so far.
     pub attempt: Attempt,
     /// What the log gets to read; gone once the line is written.
     pub record: Weak<Record>,
     /// Its charge, which is followed once the run is dropped.
-    pub carrier: Option<Carrier>,
+    pub carrier: Option<ChargeGuard>,
 }
 
 impl Run {
@@ -359,7 +359,7 @@
             record.charge(charged);
         }
         if let Some(account) = seat.find(&self.call.budget) {
-            account.freed();
+            account.on_released();
         }
         charged
     }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -4,7 +4,7 @@
 use swiftlink_routing::ErrorKind;
 
 use crate::call::Work;
-use crate::dispatch::{Opened, open, wait_slot};
+use crate::dispatch::{ServerResponse, open, wait_slot};
 use crate::engine;
 use crate::fleet::Target;
 use crate::forward::{end_to_end, for_server, pass_body};
@@ -38,14 +38,14 @@
         for (name, value) in &headers {
             request.headers_mut().append(name, value.clone());
         }
-        engine::mark(request.headers_mut(), call.key(), call.class.weight);
+        engine::add_headers(request.headers_mut(), call.key(), call.class.weight);
         request.map(|body: Full<_>| body)
     };
     let opened = match open(node, call, attempt, 0, false, make).await {
         Ok(opened) => opened,
         Err(refusal) => return send(reply, Reply::Refused(refusal)),
     };
-    let Opened { answer, mut target } = opened;
+    let ServerResponse { answer, mut target } = opened;
     target.first_token();
     let tokens = run.call.pool_spec.call_tokens;
     let charged = run.charge(tokens).await;
--- a/crates/router/src/sink.rs
+++ b/crates/router/src/sink.rs
@@ -7,7 +7,7 @@
 use swiftlink_types::{OUTCOME_HEADER, Outcome, Refusal, RequestKey, Tokens, wall_ms};
 use tokio::sync::mpsc;
 
-use crate::answer::{self, Receipt, Whole};
+use crate::answer::{self, CompleteAnswer, Receipt};
 use crate::problem::CHARGED_HEADER;
 use crate::reply::{Piece, Reply, ReplySender, pieces};
 use crate::serve::send;
@@ -204,17 +204,17 @@
             return;
         };
         let ended = self.whole.finish().unwrap_or_default();
-        let whole = Whole {
+        let whole = CompleteAnswer {
             id: self.id,
             model: self.model,
             created: wall_ms(),
             chat: self.chat,
-            ended,
+            finished: ended,
         };
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         set_charged(&mut headers, receipt.charged);
-        let body = answer::whole(&whole, receipt);
+        let body = answer::body(&whole, receipt);
         send(reply, Reply::Whole(StatusCode::OK, headers, body));
     }
 }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::account::Account;
-use crate::members::Seat;
+use crate::members::Membership;
 use crate::node::Node;
 use crate::router::Router;
 
@@ -67,7 +67,7 @@
 /// Returns all unused rights and waits for the log's word.
 async fn return_all(node: &Node) {
     let mut returns = Vec::new();
-    for seat in node.members.seats() {
+    for seat in node.members.all() {
         for account in seat.accounts() {
             returns.push(return_one(node, std::sync::Arc::clone(&seat), account));
         }
@@ -75,7 +75,11 @@
     futures_util::future::join_all(returns).await;
 }
 
-async fn return_one(node: &Node, seat: std::sync::Arc<Seat>, account: std::sync::Arc<Account>) {
+async fn return_one(
+    node: &Node,
+    seat: std::sync::Arc<Membership>,
+    account: std::sync::Arc<Account>,
+) {
     account.grant.shrink(u64::MAX);
     let GrantCounters {
         returned, reserved, ..
--- a/crates/router/src/vms.rs
+++ b/crates/router/src/vms.rs
@@ -62,7 +62,7 @@
             });
         }
         for pool in pools.all() {
-            pool.on_listed(&listed);
+            pool.set_vm_list(&listed);
         }
     }
 }
--- a/crates/router/tests/account.rs
+++ b/crates/router/tests/account.rs
@@ -1,4 +1,4 @@
-//! What a request does that needs rights, by what the last claim has told.
+//! What a request does that needs rights, by what the last claim has answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
     }
 }
 
-/// Answers the account's next claim as `told` says.
-fn claimer(account: &Arc<Account>, told: impl FnOnce(&Account) + Send + 'static) {
+/// Answers the account's next claim as `answer` says.
+fn claimer(account: &Arc<Account>, answer: impl FnOnce(&Account) + Send + 'static) {
     let account = Arc::clone(account);
     tokio::spawn(async move {
         account.wake.notified().await;
-        told(&account);
+        answer(&account);
     });
 }
 
@@ -33,7 +33,7 @@
 async fn rights_at_hand_are_taken_without_a_claim() {
     let account = account();
     account.grant.credit(100);
-    let held = account.obtain(60, policy(), true).await.expect("at hand");
+    let held = account.reserve(60, policy(), true).await.expect("at hand");
     assert_eq!(held.amount(), 60);
     assert_eq!(account.grant.available(), 40);
     drop(held);
@@ -46,9 +46,9 @@
     claimer(&account, |account| {
         assert_eq!(account.waiting().min_cost, 60);
         account.grant.credit(80);
-        account.tell(|news| news.at = Some(Instant::now()));
+        account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
-    let held = account.obtain(60, policy(), true).await.expect("granted");
+    let held = account.reserve(60, policy(), true).await.expect("granted");
     assert_eq!(held.amount(), 60);
     assert_eq!(account.waiting().total_cost, 0);
 }
@@ -57,9 +57,12 @@
 async fn an_empty_budget_is_refused_as_empty() {
     let account = account();
     claimer(&account, |account| {
-        account.tell(|news| news.at = Some(Instant::now()));
+        account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
-    let shortage = account.obtain(60, policy(), true).await.expect_err("empty");
+    let shortage = account
+        .reserve(60, policy(), true)
+        .await
+        .expect_err("empty");
     assert_eq!(shortage.refusal.kind, RefusalKind::NoBudget);
     assert_eq!(shortage.refusal.outcome, Outcome::NotRun);
     assert!(shortage.holders.is_empty());
@@ -70,23 +73,23 @@
     let address = "127.0.0.1:7101".parse().expect("an address");
     let account = account();
     claimer(&account, move |account| {
-        account.tell(|news| {
-            news.at = Some(Instant::now());
-            news.elsewhere = 500;
-            news.holders = Arc::from([Holder { address, held: 500 }]);
+        account.update_status(|status| {
+            status.updated_at = Some(Instant::now());
+            status.held_elsewhere = 500;
+            status.holders = Arc::from([Holder { address, held: 500 }]);
         });
     });
     let shortage = account
-        .obtain(60, policy(), true)
+        .reserve(60, policy(), true)
         .await
         .expect_err("elsewhere");
     assert_eq!(shortage.holders, [address]);
     // Relayed once already: it ends here, with the time to come back.
     claimer(&account, |account| {
-        account.tell(|news| news.at = Some(Instant::now()));
+        account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
     let shortage = account
-        .obtain(60, policy(), false)
+        .reserve(60, policy(), false)
         .await
         .expect_err("elsewhere");
     assert_eq!(shortage.refusal.kind, RefusalKind::BudgetBusy);
@@ -98,13 +101,13 @@
 async fn a_failed_claim_ends_the_wait_at_once() {
     let account = account();
     claimer(&account, |account| {
-        account.tell(|news| {
-            news.at = Some(Instant::now());
-            news.is_out = true;
+        account.update_status(|status| {
+            status.updated_at = Some(Instant::now());
+            status.is_failed = true;
         });
     });
     let start = Instant::now();
-    let shortage = account.obtain(60, policy(), true).await.expect_err("out");
+    let shortage = account.reserve(60, policy(), true).await.expect_err("out");
     assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
     assert!(start.elapsed() < policy().claim_wait, "paused clock");
 }
@@ -117,7 +120,7 @@
         ..policy()
     };
     let start = Instant::now();
-    let shortage = account.obtain(60, policy, true).await.expect_err("silent");
+    let shortage = account.reserve(60, policy, true).await.expect_err("silent");
     assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
     assert_eq!(start.elapsed(), Duration::ZERO, "paused clock");
 }
@@ -127,7 +130,7 @@
     let account = account();
     let start = Instant::now();
     let shortage = account
-        .obtain(60, policy(), true)
+        .reserve(60, policy(), true)
         .await
         .expect_err("unanswered");
     assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
@@ -142,15 +145,15 @@
     let mut running = account.take(100).expect("at hand");
     running.dispatch();
     claimer(&account, |account| {
-        account.tell(|news| news.at = Some(Instant::now()));
+        account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
     let ending = Arc::clone(&account);
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert_eq!(running.settle(30), 30);
-        ending.freed();
+        ending.on_released();
     });
-    let held = account.obtain(60, policy(), true).await.expect("freed");
+    let held = account.reserve(60, policy(), true).await.expect("freed");
     assert_eq!(held.amount(), 60);
     assert_eq!(account.grant.available(), 10);
 }
@@ -162,11 +165,11 @@
     let mut running = account.take(100).expect("at hand");
     running.dispatch();
     claimer(&account, |account| {
-        account.tell(|news| news.at = Some(Instant::now()));
+        account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
     let start = Instant::now();
     let shortage = account
-        .obtain(60, policy(), true)
+        .reserve(60, policy(), true)
         .await
         .expect_err("too late");
     assert_eq!(shortage.refusal.kind, RefusalKind::BudgetBusy);
@@ -179,18 +182,18 @@
     let account = account();
     // Relayed: another router holds rights.
     claimer(&account, move |account| {
-        account.tell(|news| {
-            news.at = Some(Instant::now());
-            news.elsewhere = 500;
-            news.holders = Arc::from([Holder { address, held: 500 }]);
+        account.update_status(|status| {
+            status.updated_at = Some(Instant::now());
+            status.held_elsewhere = 500;
+            status.holders = Arc::from([Holder { address, held: 500 }]);
         });
     });
-    let relayed = account.obtain(60, policy(), true).await;
+    let relayed = account.reserve(60, policy(), true).await;
     assert_eq!(relayed.expect_err("elsewhere").holders, [address]);
     let demand = account.grant.demand();
     assert_eq!((demand.missed, demand.requests), (60, 1));
     // Refused: it was relayed here already.
-    let refused = account.obtain(40, policy(), false).await;
+    let refused = account.reserve(40, policy(), false).await;
     assert!(refused.is_err());
     let demand = account.grant.demand();
     assert_eq!((demand.missed, demand.requests), (100, 2));
@@ -199,9 +202,9 @@
     tokio::time::sleep(policy().pause * 2).await;
     claimer(&account, |account| {
         account.grant.credit(80);
-        account.tell(|news| news.at = Some(Instant::now()));
+        account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
-    let held = account.obtain(30, policy(), false).await.expect("granted");
+    let held = account.reserve(30, policy(), false).await.expect("granted");
     assert_eq!(held.amount(), 30);
     let demand = account.grant.demand();
     assert_eq!((demand.taken, demand.missed, demand.requests), (30, 100, 3));
@@ -216,7 +219,7 @@
     };
     let mut waits = std::pin::pin!(account.wake.notified());
     waits.as_mut().enable();
-    let refused = account.obtain(60, silent, true).await;
+    let refused = account.reserve(60, silent, true).await;
     assert!(refused.is_err());
     waits.await;
     // The claimer may have looked at the demand before the miss was noted.
--- a/crates/router/tests/answer.rs
+++ b/crates/router/tests/answer.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderValue};
 use serde_json::{Value, json};
-use swiftlink_router::answer::{Receipt, Whole, event, tokens_run, whole, with_receipt};
+use swiftlink_router::answer::{CompleteAnswer, Receipt, body, event, tokens_run, with_receipt};
 use swiftlink_router::forward::{end_to_end, for_server};
 use swiftlink_stream::{AnswerBuilder, StreamEvent, Usage, parse_event, parse_event_id};
 use swiftlink_types::RequestKey;
@@ -51,16 +51,16 @@
         };
         parts.add(&part);
     }
-    let answer = Whole {
+    let answer = CompleteAnswer {
         id: "a".to_owned(),
         model: "m".to_owned(),
         created: 1_700_000_000_000,
         chat: true,
-        ended: parts.finish().expect("the usage was told"),
+        finished: parts.finish().expect("the usage was told"),
     };
     let key = RequestKey::generate(1_700_000_000_000);
     let body: Value =
-        serde_json::from_slice(&whole(&answer, Receipt { key, charged: 5 })).expect("JSON");
+        serde_json::from_slice(&body(&answer, Receipt { key, charged: 5 })).expect("JSON");
     let message = &body["choices"][0]["message"];
     assert_eq!(message["role"], "assistant");
     assert_eq!(message["content"], Value::Null);
--- a/crates/router/tests/claim.rs
+++ b/crates/router/tests/claim.rs
@@ -16,7 +16,7 @@
 use swiftlink_router::freshness::Freshness;
 use swiftlink_router::keys::Keys;
 use swiftlink_router::ledgers::Ledgers;
-use swiftlink_router::members::{Keeper, Members, Seat};
+use swiftlink_router::members::{Keeper, Membership, Memberships};
 use swiftlink_router::pings;
 use swiftlink_telemetry::Metrics;
 use swiftlink_types::{BudgetName, DomainName, RefusalKind, VmName};
@@ -130,7 +130,7 @@
     ledgers: Arc<Ledgers>,
     tasks: TaskTracker,
     stop: CancellationToken,
-    _seat: Arc<Seat>,
+    _seat: Arc<Membership>,
     account: Arc<Account>,
 }
 
@@ -151,7 +151,7 @@
         let ledgers = Arc::new(Ledgers::spawn(&settings));
         let stop = CancellationToken::new();
         let tasks = TaskTracker::new();
-        let members = Members::new(1);
+        let members = Memberships::new(1);
         let keeper = Keeper {
             vm: VmName::from("vm-1"),
             domain: Arc::from("east"),
@@ -178,7 +178,7 @@
             tasks: tasks.clone(),
         };
         let budget = BudgetName::from("registry");
-        let seat = until(|| members.seat(&budget)).await;
+        let seat = until(|| members.find(&budget)).await;
         let account = seat.open(&budget, &claimers);
         Self {
             server,
@@ -198,7 +198,7 @@
             pause: Duration::from_millis(100),
             has_log: true,
         };
-        self.account.obtain(cost, policy, true).await.map(drop)
+        self.account.reserve(cost, policy, true).await.map(drop)
     }
 
     async fn stop(self) {
--- a/crates/router/tests/health.rs
+++ b/crates/router/tests/health.rs
@@ -1,9 +1,9 @@
 //! What keeps a router from taking work.
 
 use swiftlink_router::freshness::Trust;
-use swiftlink_router::health::{Facts, Trouble};
+use swiftlink_router::health::{HealthInputs, HealthIssue};
 
-const WELL: Facts = Facts {
+const WELL: HealthInputs = HealthInputs {
     stopping: false,
     retired: false,
     trust: Trust::Current,
@@ -14,52 +14,52 @@
 
 #[test]
 fn a_router_that_serves_has_no_trouble() {
-    assert_eq!(WELL.troubles(), []);
-    let out = Facts {
-        trust: Trust::LogOut,
+    assert_eq!(WELL.issues(), []);
+    let out = HealthInputs {
+        trust: Trust::LogUnavailable,
         ..WELL
     };
-    assert_eq!(out.troubles(), [], "it serves from the rights it holds");
+    assert_eq!(out.issues(), [], "it serves from the rights it holds");
 }
 
 #[test]
 fn each_trouble_is_told_and_the_worst_first() {
     let cases = [
         (
-            Facts {
+            HealthInputs {
                 stopping: true,
                 ..WELL
             },
-            Trouble::Stopping,
+            HealthIssue::Stopping,
         ),
         (
-            Facts {
+            HealthInputs {
                 retired: true,
                 ..WELL
             },
-            Trouble::DeclaredGone,
+            HealthIssue::DeclaredGone,
         ),
         (
-            Facts {
+            HealthInputs {
                 trust: Trust::None,
                 ..WELL
             },
-            Trouble::NoConfiguration,
+            HealthIssue::NoConfiguration,
         ),
         (
-            Facts {
+            HealthInputs {
                 trust: Trust::Stale,
                 ..WELL
             },
-            Trouble::Stale,
+            HealthIssue::Stale,
         ),
-        (Facts { stuck: 1, ..WELL }, Trouble::Stuck),
-        (Facts { joined: 3, ..WELL }, Trouble::NotJoined),
+        (HealthInputs { stuck: 1, ..WELL }, HealthIssue::Stuck),
+        (HealthInputs { joined: 3, ..WELL }, HealthIssue::NotJoined),
     ];
-    for (facts, trouble) in cases {
-        assert_eq!(facts.troubles(), [trouble]);
+    for (inputs, issue) in cases {
+        assert_eq!(inputs.issues(), [issue]);
     }
-    let all = Facts {
+    let all = HealthInputs {
         stopping: true,
         retired: true,
         trust: Trust::Stale,
@@ -68,20 +68,20 @@
         shards: 4,
     };
     let expected = [
-        Trouble::Stopping,
-        Trouble::DeclaredGone,
-        Trouble::Stale,
-        Trouble::Stuck,
-        Trouble::NotJoined,
+        HealthIssue::Stopping,
+        HealthIssue::DeclaredGone,
+        HealthIssue::Stale,
+        HealthIssue::Stuck,
+        HealthIssue::NotJoined,
     ];
-    assert_eq!(all.troubles(), expected);
+    assert_eq!(all.issues(), expected);
 }
 
 #[test]
 fn a_balancer_sends_callers_also_to_a_router_that_has_yet_to_join() {
-    let kept: Vec<_> = Trouble::ALL
+    let kept: Vec<_> = HealthIssue::ALL
         .into_iter()
-        .filter(|trouble| !trouble.turns_away())
+        .filter(|issue| !issue.makes_unready())
         .collect();
-    assert_eq!(kept, [Trouble::NotJoined]);
+    assert_eq!(kept, [HealthIssue::NotJoined]);
 }
--- a/crates/router/tests/keys.rs
+++ b/crates/router/tests/keys.rs
@@ -62,25 +62,25 @@
     let key = RequestKey::generate(early);
     let run = keys.take(&workspace(), key, NOW, 0).expect("young enough");
     let later = NOW + 10 * WINDOW;
-    assert_eq!(keys.raise(later), early, "in flight");
+    assert_eq!(keys.raise_floor(later), early, "in flight");
     let hold = run.hold();
     drop(run);
-    assert_eq!(keys.raise(later), early, "its charge is not decided");
+    assert_eq!(keys.raise_floor(later), early, "its charge is not decided");
     drop(hold);
-    assert!(keys.raise(later) > early);
+    assert!(keys.raise_floor(later) > early);
 }
 
 #[test]
 fn a_clock_that_goes_back_does_not_open_what_was_promised() {
     let keys = Keys::new(WINDOW, 0);
-    let promised = keys.raise(NOW);
+    let promised = keys.raise_floor(NOW);
     let key = RequestKey::generate(promised - 1);
     let back = promised + 1_000;
     assert_eq!(
         keys.take(&workspace(), key, back, 0).map(drop),
         Err(KeyRefusal::TooOld)
     );
-    assert_eq!(keys.raise(back), promised);
+    assert_eq!(keys.raise_floor(back), promised);
 }
 
 proptest! {
@@ -94,7 +94,7 @@
         for (shift, is_mark) in steps {
             let now = NOW + shift;
             if is_mark {
-                promised = promised.max(keys.raise(now));
+                promised = promised.max(keys.raise_floor(now));
                 continue;
             }
             let key = RequestKey::generate(now - shift % WINDOW);
--- a/crates/router/tests/members.rs
+++ b/crates/router/tests/members.rs
@@ -9,7 +9,7 @@
 use swiftlink_router::charge::{Cost, Settler};
 use swiftlink_router::keys::Keys;
 use swiftlink_router::ledgers::Ledgers;
-use swiftlink_router::members::Seat;
+use swiftlink_router::members::Membership;
 use swiftlink_router::past::PastRuns;
 use swiftlink_telemetry::Metrics;
 use swiftlink_types::{BudgetName, Incarnation, RequestKey, VmName, WorkspaceName};
@@ -17,76 +17,76 @@
 
 const NOW: u64 = 1_700_000_000_000;
 
-fn seat() -> Arc<Seat> {
+fn membership() -> Arc<Membership> {
     let incarnation = Incarnation {
         vm: VmName::from("vm"),
         epoch: 1,
     };
-    Seat::new(0, incarnation, 0)
+    Membership::new(0, incarnation, 0)
 }
 
-/// Whether a keeper that waits for the end of `seat` would join now.
-fn joins(seat: &Seat) -> bool {
-    let joins = seat.over().now_or_never().is_some();
-    assert_eq!(joins, seat.is_over());
+/// Whether a keeper that waits for the end of `membership` would join now.
+fn joins(membership: &Membership) -> bool {
+    let joins = membership.drained().now_or_never().is_some();
+    assert_eq!(joins, membership.is_drained());
     joins
 }
 
 #[test]
 fn a_retired_incarnation_takes_no_new_work_and_waits_for_the_old() {
-    let seat = seat();
-    let first = seat.enter().expect("it is active");
-    let second = seat.enter().expect("it is active");
-    assert!(!joins(&seat));
-    seat.retire();
-    assert!(seat.enter().is_none());
-    assert!(!joins(&seat));
+    let membership = membership();
+    let first = membership.begin_work().expect("it is active");
+    let second = membership.begin_work().expect("it is active");
+    assert!(!joins(&membership));
+    membership.retire();
+    assert!(membership.begin_work().is_none());
+    assert!(!joins(&membership));
     drop(first);
-    assert!(!joins(&seat));
+    assert!(!joins(&membership));
     // A request hands its work over to its charge.
-    let charge = seat.stay();
+    let charge = membership.continue_work();
     drop(second);
-    assert!(!joins(&seat));
+    assert!(!joins(&membership));
     drop(charge);
-    assert!(joins(&seat));
+    assert!(joins(&membership));
 }
 
 #[test]
 fn an_incarnation_without_work_is_over_once_it_is_retired() {
-    let seat = seat();
-    assert!(!joins(&seat), "it is active");
-    drop(seat.enter().expect("it is active"));
-    assert!(!joins(&seat), "it is active");
-    seat.retire();
-    assert!(joins(&seat));
+    let membership = membership();
+    assert!(!joins(&membership), "it is active");
+    drop(membership.begin_work().expect("it is active"));
+    assert!(!joins(&membership), "it is active");
+    membership.retire();
+    assert!(joins(&membership));
 }
 
 #[test]
 fn stranded_rights_hold_nothing_up() {
-    let seat = seat();
+    let membership = membership();
     let grant = Arc::new(Grant::new());
     grant.credit(100);
-    let stay = seat.enter().expect("it is active");
+    let guard = membership.begin_work().expect("it is active");
     let mut rights = grant.hold(40).expect("enough");
     rights.dispatch();
-    seat.retire();
-    assert!(!joins(&seat));
+    membership.retire();
+    assert!(!joins(&membership));
     drop(rights);
-    drop(stay);
+    drop(guard);
     assert_eq!(grant.counters().reserved, 40);
-    assert!(joins(&seat));
+    assert!(joins(&membership));
 }
 
 #[test]
 fn no_work_begins_once_a_retired_incarnation_was_seen_empty() {
     for _round in 0..2_000 {
-        let seat = seat();
+        let membership = membership();
         let late = std::thread::scope(|scope| {
-            let worker = scope.spawn(|| seat.enter());
-            seat.retire();
-            let was_over = seat.is_over();
-            let stay = worker.join().expect("no panic");
-            was_over && stay.is_some()
+            let worker = scope.spawn(|| membership.begin_work());
+            membership.retire();
+            let was_drained = membership.is_drained();
+            let guard = worker.join().expect("no panic");
+            was_drained && guard.is_some()
         });
         assert!(!late);
     }
@@ -106,8 +106,8 @@
 
 #[tokio::test]
 async fn an_undecided_charge_outlives_its_answer() {
-    let seat = seat();
-    let stay = seat.enter().expect("it is active");
+    let membership = membership();
+    let guard = membership.begin_work().expect("it is active");
     let workspace = WorkspaceName::from("w");
     let key = RequestKey::generate(NOW);
     let keys = Keys::new(1_000, 0);
@@ -119,10 +119,10 @@
         tokens: 7,
         cost: 7,
     };
-    settler().settle(&stay, cost, key_use.hold()).await;
+    settler().settle(&guard, cost, key_use.hold()).await;
     drop(key_use);
-    drop(stay);
-    seat.retire();
-    assert!(!joins(&seat));
-    assert_eq!(seat.stays(), 1);
+    drop(guard);
+    membership.retire();
+    assert!(!joins(&membership));
+    assert_eq!(membership.pending_work(), 1);
 }
