--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -1,8 +1,8 @@
-//! The rights that one incarnation of this router holds on one budget.
+//! The quota that one incarnation of this router holds of one budget.
 //!
-//! A request that finds rights takes them without a lock or a message. One that
-//! finds none becomes a waiter; the account's claimer (see [`crate::claim`]) is
-//! woken and tells all waiters what became of its claim.
+//! A request that finds enough quota reserves it without a lock or a message.
+//! Otherwise it becomes a waiter and wakes the account's claimer (see
+//! [`crate::claim`]), which reports the outcome of its claim to all waiters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,74 +17,74 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout_at};
 
-/// Expected time of a claim before one has been timed.
+/// Expected duration of a claim before the first one has completed.
 pub const FIRST_CLAIM_TIME: Duration = Duration::from_millis(20);
-/// Time that a relay to another router is expected to add.
+/// Expected latency that a relay to another router adds.
 const RELAY_TIME: Duration = Duration::from_millis(5);
 
-/// Another router that held rights when the log last told.
+/// Another router that held quota when the log was last read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// Callers' address of the router.
+    /// Address at which the router accepts callers.
     pub address: SocketAddr,
-    /// Rights held, unspent as the log knew.
+    /// Quota held (tokens) that was unspent as far as the log knew.
     pub held: Tokens,
 }
 
-/// What the last claim has told.
+/// Outcome of the last claim, as published to waiting requests.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimStatus {
-    /// Grows with every claim answered or failed.
+    /// Incremented by every claim that is answered or fails.
     pub version: u64,
-    /// When it was told; `None` before the first claim.
+    /// Time of the last update; `None` before the first claim.
     pub updated_at: Option<Instant>,
-    /// The last try got no answer.
+    /// Whether the last submission got no answer.
     pub is_failed: bool,
-    /// Free in the budget (tokens).
+    /// Unassigned tokens of the budget.
     pub free: Tokens,
-    /// Held by other incarnations (tokens).
+    /// Tokens held by other incarnations.
     pub held_elsewhere: Tokens,
-    /// The largest other holders.
+    /// The routers that hold the most.
     pub holders: Arc<[Holder]>,
 }
 
-/// Why a request got no rights here.
+/// Why a request could not reserve quota on this router.
 #[derive(Debug, Clone)]
 pub struct Shortage {
-    /// The refusal, unless another router serves the request.
+    /// Refusal to return unless another router serves the request.
     pub refusal: Refusal,
-    /// Routers that may hold rights, best first.
+    /// Routers that may hold quota, the best candidate first.
     pub holders: Vec<SocketAddr>,
 }
 
-/// How a request may wait for rights.
+/// Limits on a request's wait for quota.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitPolicy {
-    /// Latest useful moment.
+    /// Time after which an answer is useless to the caller.
     pub deadline: Instant,
     /// Longest wait for a claim.
     pub claim_wait: Duration,
-    /// Time for which the answer to a claim stands.
+    /// Time for which the outcome of a claim stays valid.
     pub pause: Duration,
-    /// Whether the log was heard of lately.
+    /// Whether the log was reachable recently.
     pub has_log: bool,
 }
 
-/// Rights on one budget.
+/// Quota of one budget, and the requests that wait for it.
 #[derive(Debug)]
 pub struct Account {
     /// Name of the budget.
     pub budget: BudgetName,
-    /// The rights.
+    /// The tokens held.
     pub grant: Arc<Grant>,
     /// Wakes the claimer.
     pub wake: Notify,
-    /// Available rights under which the claimer is woken.
+    /// Available tokens below which the claimer is woken.
     wake_threshold: AtomicU64,
-    /// Expected time of a claim (µs).
+    /// Expected duration of a claim (µs).
     claim_time: AtomicU64,
     waiters: Mutex<Waiters>,
-    /// Number of waiters, to be looked at without the lock.
+    /// Number of waiters, readable without the lock.
     count: AtomicUsize,
     status: watch::Sender<ClaimStatus>,
 }
@@ -96,7 +96,7 @@
 }
 
 impl Account {
-    /// An account without rights.
+    /// Creates an account without quota.
     #[must_use]
     pub fn new(budget: BudgetName) -> Self {
         Self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes `cost` tokens from the rights at hand.
+    /// Reserves `cost` tokens if they are available now.
     #[must_use]
     pub fn take(&self, cost: Tokens) -> Option<Reservation> {
         let held = self.grant.hold(cost)?;
@@ -121,10 +121,10 @@
         Some(held)
     }
 
-    /// Takes `cost` tokens, waiting for a claim where that is the way to get them.
+    /// Reserves `cost` tokens, and waits for a claim if one may supply them.
     ///
     /// # Errors
-    /// When no rights can be had here in time.
+    /// Fails when this router can't obtain the quota in time.
     pub async fn reserve(
         &self,
         cost: Tokens,
@@ -133,18 +133,18 @@
     ) -> Result<Reservation, Shortage> {
         let found = self.try_reserve(cost, policy, may_relay).await;
         if found.is_err() {
-            // Demand that was not met here; the claimer sizes its claims by it.
+            // The claimer includes unmet demand in the size of its claims.
             self.grant.miss(cost);
             self.wake.notify_one();
         }
         found
     }
 
-    /// Takes `cost` tokens for a request that got none before and that no other router
-    /// has served; it is counted as unmet already.
+    /// Reserves `cost` tokens for a request that failed to get them here before and
+    /// that no other router has served. Its unmet demand is already counted.
     ///
     /// # Errors
-    /// When no rights can be had here in time.
+    /// Fails when this router can't obtain the quota in time.
     pub async fn reserve_locally(
         &self,
         cost: Tokens,
@@ -187,21 +187,24 @@
         }
     }
 
-    /// Whether requests in flight here hold rights enough: what they don't spend is
-    /// free again at their end.
+    /// Whether requests in flight here have enough tokens reserved: those that they
+    /// don't spend become available when they end.
     fn may_free(&self, cost: Tokens) -> bool {
         let own = self.grant.counters();
         own.reserved > 0 && own.reserved + own.available >= cost
     }
 
-    /// Tells those who wait that rights may have become free.
+    /// Wakes the waiters after a reservation was released.
     pub fn on_released(&self) {
         if self.count.load(Ordering::Relaxed) > 0 {
             self.update_status(|_status| {});
         }
     }
 
-    /// Whether to wait on; the error ends the request here.
+    /// Decides whether a request keeps waiting.
+    ///
+    /// # Errors
+    /// Fails when the request must be relayed or refused.
     fn decide(
         &self,
         cost: Tokens,
@@ -245,7 +248,7 @@
         }
     }
 
-    /// No claim was decided within the wait.
+    /// The shortage of a request when no claim was decided in time.
     fn timed_out(&self, status: &ClaimStatus, may_relay: bool) -> Shortage {
         let detail = "the log did not decide a claim of rights in time";
         let refusal = Refusal::not_run(RefusalKind::LogOut, detail);
@@ -256,7 +259,7 @@
         }
     }
 
-    /// Requests that wait for rights now.
+    /// Costs of the requests that wait for quota now.
     #[must_use]
     pub fn waiting(&self) -> Waiting {
         let waiters = self.lock();
@@ -267,13 +270,13 @@
         }
     }
 
-    /// The last told.
+    /// Outcome of the last claim.
     #[must_use]
     pub fn claim_status(&self) -> ClaimStatus {
         self.status.borrow().clone()
     }
 
-    /// Tells all waiters.
+    /// Changes the claim status and wakes all waiters.
     pub fn update_status(&self, change: impl FnOnce(&mut ClaimStatus)) {
         self.status.send_modify(|status| {
             change(status);
@@ -281,21 +284,21 @@
         });
     }
 
-    /// Sets the available rights under which the claimer is woken.
+    /// Sets the available tokens below which the claimer is woken.
     pub fn set_wake_threshold(&self, threshold: Tokens) {
         self.wake_threshold.store(threshold, Ordering::Relaxed);
     }
 
-    /// Notes how long a claim took.
+    /// Updates the expected duration of a claim with a measured one.
     pub fn record_claim_time(&self, took: Duration) {
         let old = self.claim_time.load(Ordering::Relaxed);
         let new = took.as_micros() as u64;
-        // An average over about eight claims.
+        // Exponentially weighted moving average over about eight claims.
         self.claim_time
             .store(old - old / 8 + new / 8, Ordering::Relaxed);
     }
 
-    /// Expected time of a claim.
+    /// Expected duration of a claim.
     #[must_use]
     pub fn claim_time(&self) -> Duration {
         Duration::from_micros(self.claim_time.load(Ordering::Relaxed))
@@ -318,7 +321,7 @@
     }
 }
 
-/// A waiting request; dropped, it waits no more.
+/// Registers a waiting request until it is dropped.
 struct Waiter<'a> {
     account: &'a Account,
     number: u64,
--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -1,7 +1,7 @@
-//! Where a request is admitted: sender, class, pool, key, and the bound on its cost.
+//! Admission of a request: its sender, class, pool, key and maximum cost.
 //!
-//! Nothing here sends a message. What it refuses was never run, but for keys that
-//! may have run before.
+//! Admission sends no messages. A refused request has not run, unless an earlier
+//! request with the same key may have run.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -27,17 +27,17 @@
 use crate::repeat;
 use crate::surface::{self, LAST_EVENT, Options, Route, bearer, malformed, options, route};
 
-/// When to come back to a router that can't take new work for now.
+/// Retry delay for a router that can't accept new work at the moment.
 const BUSY_RETRY: Duration = Duration::from_secs(1);
-/// When to come back to a key in use on this router.
+/// Retry delay for a key that is in use on this router.
 const KEY_RETRY: Duration = Duration::from_secs(1);
-/// Bytes of a prompt's start that choose a runner with a warm cache.
+/// Length of the prompt prefix (bytes) that selects a runner with a warm cache.
 const PREFIX_BYTES: usize = 1_024;
 
 /// Reads and admits a request.
 ///
 /// # Errors
-/// The final answer to a request that is not admitted.
+/// Returns the refusal to send to the caller.
 pub async fn admit(node: &Node, request: &mut Incoming) -> Result<Call, Refusal> {
     match try_admit(node, request).await {
         Ok(call) => Ok(call),
@@ -45,7 +45,8 @@
     }
 }
 
-/// The refusal as it is when the request names a key that was dispatched here before.
+/// Adjusts the refusal of a request whose key was dispatched here before, which may
+/// have run.
 fn adjust_refusal(node: &Node, headers: &HeaderMap, refusal: Refusal) -> Refusal {
     let config = node.config.load();
     let sender = bearer(headers).and_then(|secret| authenticate(&config, secret, false));
@@ -61,7 +62,7 @@
     }
 }
 
-/// Whether the request reads on a stream of its sender's.
+/// Whether the request resumes a stream that belongs to its sender.
 fn is_resumption(node: &Node, headers: &HeaderMap, sender: &Sender) -> bool {
     let id = headers.get(LAST_EVENT).and_then(|id| id.to_str().ok());
     let Some((text, _seen)) = id.and_then(|id| parse_event_id(id.trim())) else {
@@ -99,7 +100,10 @@
     }
 }
 
-/// Whether this router takes new work at all.
+/// Checks that this router accepts new work.
+///
+/// # Errors
+/// Fails while the router is stopping, retired or blocked by unstored charges.
 fn check_accepting(node: &Node) -> Result<(), Refusal> {
     if node.is_stopping() {
         let detail = "this router is stopping";
@@ -126,7 +130,7 @@
     })
 }
 
-/// A request whose sender is known.
+/// A request whose sender is authenticated.
 struct Admission<'a> {
     node: &'a Node,
     config: Arc<Config>,
@@ -134,7 +138,7 @@
     options: Options,
 }
 
-/// What the parts of a call have to say about it.
+/// The parts of a call that depend on the kind of its work.
 struct CallParts {
     pool: Arc<Pool>,
     spec: Arc<PoolSpec>,
@@ -201,7 +205,7 @@
         let parts = CallParts {
             pool,
             spec,
-            // Reading on runs nothing, so it may be repeated.
+            // Resuming a stream runs nothing, so it may be repeated.
             once: false,
             tokens: 0,
             work: Work::Resume(work),
@@ -235,7 +239,7 @@
         let wanted = self.options.class.as_ref();
         let (class_name, class) = class_of(&self.config, workspace, wanted)?;
         let (budget, bound) = match &parts.work {
-            // The stream's own budget and bound, as it was admitted with.
+            // The budget and the maximum cost with which the stream was admitted.
             Work::Resume(resume) => (
                 BudgetName::from(resume.token.budget.as_str()),
                 resume.token.bound,
@@ -256,7 +260,8 @@
             _ => keys.take(&self.sender.name, key, now, evicted),
         };
         let key_use = taken.map_err(key_refusal)?;
-        // After the key is in use: a stop that begins now waits for this request.
+        // Checked again while the key is in use: a stop that begins from here on waits
+        // for this request.
         check_accepting(self.node)?;
         let identity = identity(&key_use, has_key, &original);
         let limit = Duration::from_millis(self.node.settings.deadline_ms);
@@ -323,7 +328,7 @@
     Refusal::not_run(RefusalKind::Unavailable, detail).with_retry(BUSY_RETRY)
 }
 
-/// The refusal when no backend server of a pool takes work.
+/// The refusal when no backend server of a pool accepts work.
 #[must_use]
 pub fn no_server(pool: &PoolName, retry: Option<Duration>) -> Refusal {
     let detail = format!("no backend server of {pool} takes new work now");
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,11 +1,11 @@
-//! The form of answers to callers: events of a stream, and whole bodies.
+//! Encoding of answers to callers: events of a stream, and complete bodies.
 
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use swiftlink_stream::{DONE, FinishedAnswer, Usage, event_id};
 use swiftlink_types::{Outcome, Refusal, RequestKey, Tokens, WallMs};
 
-/// What a completed answer says of its charge.
+/// Charge information that is included in a completed answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Receipt {
     /// Key of the request.
@@ -37,20 +37,20 @@
     text.into()
 }
 
-/// The end mark of a streamed answer.
+/// The event that marks the end of a streamed answer.
 #[must_use]
 pub fn end(token: &str, number: u64) -> Bytes {
     event(token, number, DONE)
 }
 
-/// The event that tells a caller that its answer was cut.
+/// The event that reports that a streamed answer was interrupted.
 #[must_use]
 pub fn error(refusal: &Refusal) -> Bytes {
     let problem = serde_json::to_string(&refusal.problem()).unwrap_or_default();
     format!("event: error\ndata: {problem}\n\n").into()
 }
 
-/// The data of the last chunk, with the receipt added.
+/// Adds the receipt to the data of the last chunk.
 #[must_use]
 pub fn with_receipt(data: &str, receipt: Receipt) -> String {
     let parsed: Result<Map<String, Value>, _> = serde_json::from_str(data);
@@ -61,7 +61,7 @@
     Value::Object(fields).to_string()
 }
 
-/// The last chunk of an answer whose engine told no usage in its own.
+/// The last chunk of an answer whose engine reported no usage in its own last chunk.
 #[must_use]
 pub fn last_chunk(usage: Usage, receipt: Receipt) -> String {
     json!({
@@ -73,22 +73,22 @@
     .to_string()
 }
 
-/// What a whole answer is made of.
+/// The content of an answer that is sent as one body.
 #[derive(Debug, Clone)]
 pub struct CompleteAnswer {
     /// The engine's id of the answer.
     pub id: String,
     /// The model's name.
     pub model: String,
-    /// When it was made.
+    /// Creation time.
     pub created: WallMs,
-    /// A chat completion rather than a plain one.
+    /// Whether it is a chat completion rather than a text completion.
     pub chat: bool,
-    /// Text, end and usage.
+    /// Text, finish reason and usage.
     pub finished: FinishedAnswer,
 }
 
-/// The body of a whole answer.
+/// Encodes the body of a complete answer.
 #[must_use]
 pub fn body(answer: &CompleteAnswer, receipt: Receipt) -> Bytes {
     let finished = &answer.finished;
@@ -115,11 +115,11 @@
     value.to_string().into()
 }
 
-/// The message of a whole chat answer.
+/// The message of a complete chat answer.
 fn message(finished: &FinishedAnswer) -> Value {
     let mut message = finished.message.clone();
     message.insert("role".to_owned(), json!("assistant"));
-    // A message of tool calls alone has a null for its text.
+    // The content of a message that has only tool calls is null.
     let is_bare = finished.text.is_none() && !message.contains_key("tool_calls");
     let text = if is_bare {
         Some("")
@@ -130,7 +130,7 @@
     Value::Object(message)
 }
 
-/// Tokens run, as told by the engine.
+/// Tokens processed, as reported by the engine: the larger of the total and the sum.
 #[must_use]
 pub fn tokens_run(usage: Usage) -> Tokens {
     let sum = usage.prompt_tokens.saturating_add(usage.completion_tokens);
--- a/crates/router/src/auth.rs
+++ b/crates/router/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, and what its workspace may use.
+//! Authentication of a request's sender, and the classes that its workspace may use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use swiftlink_resource::{Class, Config, StaleRule, Workspace};
 use swiftlink_types::{ClassName, PRICE_UNIT, Refusal, RefusalKind, WorkspaceName};
 
-/// Class of a request that names none.
+/// Class of a request that doesn't name one.
 const DEFAULT_CLASS: &str = "standard";
-/// When to come back while the configuration is not current.
+/// Retry delay while the configuration may be stale.
 const STALE_RETRY: Duration = Duration::from_secs(2);
 
 /// The sender of a request.
@@ -21,10 +21,11 @@
     pub workspace: Arc<Workspace>,
 }
 
-/// Finds the workspace that `secret` speaks for.
+/// Finds the workspace that the API key `secret` belongs to.
 ///
-/// `is_stale` says that a newer configuration may exist: then a workspace that
-/// asks for it is refused, and so is a secret that may have been declared since.
+/// `is_stale` means that a newer configuration may exist. A workspace whose stale
+/// rule is [`StaleRule::Refuse`] is refused then, and so is an unknown key, which may
+/// have been declared since.
 ///
 /// # Errors
 /// [`RefusalKind::Unauthenticated`], or [`RefusalKind::Unavailable`] when stale.
@@ -51,7 +52,7 @@
     })
 }
 
-/// The class of a request, checked against those of its workspace.
+/// Returns the class of a request if its workspace may use it.
 ///
 /// # Errors
 /// [`RefusalKind::Forbidden`], or [`RefusalKind::Malformed`] for an unknown class.
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,5 +1,4 @@
-//! A request that was understood and admitted by name: who sends it, what it asks
-//! for, and what it may cost.
+//! An admitted request: its sender, its work and its maximum cost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +15,7 @@
 use crate::keys::KeyUse;
 use crate::queue::Arrival;
 
-/// A request as it came, for relaying it to a peer router.
+/// A request as received, kept for relaying it to a peer router.
 #[derive(Debug, Clone)]
 pub struct Original {
     /// Its method.
@@ -29,14 +28,14 @@
     pub body: Bytes,
 }
 
-/// What a request asks for.
+/// The work that a request asks for.
 #[derive(Debug, Clone)]
 pub enum Work {
     /// A model's answer.
     Model(ModelWork),
     /// A call of a plain service.
     Service(ServiceWork),
-    /// The rest of a model's answer.
+    /// The remainder of a model's answer.
     Resume(ResumeWork),
 }
 
@@ -45,9 +44,9 @@
 pub struct ModelWork {
     /// Body for the engine.
     pub body: Bytes,
-    /// A chat completion rather than a plain one.
+    /// Whether it is a chat completion rather than a text completion.
     pub chat: bool,
-    /// The caller wants a stream.
+    /// Whether the caller wants a stream.
     pub stream: bool,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
@@ -60,47 +59,47 @@
     pub target: String,
 }
 
-/// The rest of a model's answer.
+/// The remainder of a model's answer.
 #[derive(Debug, Clone)]
 pub struct ResumeWork {
-    /// The caller's proof that the stream is its own.
+    /// Proves that the stream belongs to the caller.
     pub token: ResumeToken,
-    /// The same as text.
+    /// The token in its text form.
     pub text: String,
-    /// First chunk that the caller has not seen.
+    /// Number of the first chunk that the caller has not received.
     pub from: u64,
 }
 
-/// One request on its way.
+/// An admitted request that is being served.
 #[derive(Debug)]
 pub struct Call {
-    /// Its key, in use.
+    /// Keeps its key in use.
     pub key_use: KeyUse,
     /// Whether the caller gave the key.
     pub has_key: bool,
-    /// Budget that it draws on.
+    /// Budget that it is charged to.
     pub budget: BudgetName,
     /// Its priority class.
     pub class_name: ClassName,
     /// The class as declared.
     pub class: Arc<Class>,
-    /// Pool that serves it.
+    /// Pool whose servers may run it.
     pub pool: Arc<Pool>,
     /// The pool as declared.
     pub pool_spec: Arc<PoolSpec>,
-    /// It must not run twice.
+    /// Whether it must not run twice.
     pub once: bool,
-    /// A peer has relayed it here.
+    /// Whether a peer router relayed it here.
     pub relayed: bool,
-    /// Latest useful moment.
+    /// Time after which an answer is useless to the caller.
     pub deadline: Instant,
-    /// Most that it can cost, in budget tokens.
+    /// Maximum cost (budget tokens).
     pub bound: Tokens,
-    /// Hash that knows it again when it comes back.
+    /// Hash that identifies the request when its caller sends it again.
     pub identity: u64,
-    /// What it asks for.
+    /// The requested work.
     pub work: Work,
-    /// The request as it came.
+    /// The request as received.
     pub original: Original,
 }
 
@@ -117,7 +116,7 @@
         self.key_use.workspace()
     }
 
-    /// Whether it reads a run that exists, and makes none.
+    /// Whether it reads the answer of an existing run instead of starting one.
     #[must_use]
     pub fn is_resumption(&self) -> bool {
         matches!(self.work, Work::Resume(_))
@@ -129,13 +128,13 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Budget tokens for `tokens` run, at most the bound that was reserved.
+    /// Cost (budget tokens) of `tokens` processed, at most the reserved maximum.
     #[must_use]
     pub fn cost(&self, tokens: Tokens) -> Tokens {
         cost(tokens, self.class.price).min(self.bound)
     }
 
-    /// What it shows to the queue.
+    /// Its description for the queue.
     #[must_use]
     pub fn arrival(&self) -> Arrival {
         Arrival {
--- a/crates/router/src/charge.rs
+++ b/crates/router/src/charge.rs
@@ -1,8 +1,9 @@
-//! Where a completed request is charged.
+//! Charging of completed requests.
 //!
-//! A charge is stored by a ledger in another failure domain before the last chunk
-//! of the answer is released. The router keeps it until the fold has decided it,
-//! and hands it to another ledger when one is silent; copies are harmless.
+//! A ledger in another failure domain stores a charge before the last chunk of the
+//! answer is sent. The router keeps the charge until the fold of the log has decided
+//! it, and submits it to another ledger when one doesn't respond. Charges are
+//! idempotent, so duplicates are harmless.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
@@ -23,23 +24,24 @@
 use crate::members::{Membership, WorkGuard};
 use crate::past::PastRuns;
 
-/// Pause after all ledgers failed to take a charge.
+/// Pause after all ledgers failed to store a charge.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for a stored charge to be decided before it goes to another ledger.
+/// Maximum wait for the decision on a stored charge before it is submitted to another
+/// ledger.
 const RETRY_CAP: Duration = Duration::from_secs(30);
 
-/// What is to be charged.
+/// The charge of one request.
 #[derive(Debug, Clone)]
 pub struct Cost {
     /// Key of the request.
     pub key: RequestKey,
     /// Workspace that sent it.
     pub workspace: WorkspaceName,
-    /// Budget that is drawn on.
+    /// Budget that is charged.
     pub budget: BudgetName,
-    /// Tokens that the backend server ran.
+    /// Tokens that the backend server processed.
     pub tokens: Tokens,
-    /// Budget tokens drawn.
+    /// Budget tokens charged.
     pub cost: Tokens,
 }
 
@@ -48,19 +50,19 @@
 pub struct ChargeCounts {
     /// Not yet decided by the log.
     pub pending: AtomicUsize,
-    /// Not stored by any ledger within the wait.
+    /// Not stored by any ledger in time.
     pub stuck: AtomicUsize,
-    /// Counted by the log.
+    /// Accepted by the log.
     pub charged: AtomicU64,
-    /// Void, since the key was charged by another run.
+    /// Void because the key was already charged for another run.
     pub void_key: AtomicU64,
-    /// Void, since the rights of the incarnation were released.
+    /// Void because the quota of the incarnation was released.
     pub void_released: AtomicU64,
-    /// Void, since the incarnation held too little.
+    /// Void because the incarnation held too little quota.
     pub overdrawn: AtomicU64,
 }
 
-/// Hands charges to ledgers.
+/// Submits charges to ledgers.
 #[derive(Debug)]
 pub struct Settler {
     ledgers: Arc<Ledgers>,
@@ -68,16 +70,16 @@
     runtime: Handle,
     metrics: Metrics,
     counts: ChargeCounts,
-    /// Longest wait for one ledger to store a charge.
+    /// Maximum wait for one ledger to store a charge.
     attempt_timeout: Duration,
-    /// Longest wait of an answer's end.
+    /// Maximum time for which the end of an answer is held back.
     wait: Duration,
     retry: Duration,
 }
 
 impl Settler {
-    /// A settler whose work runs on `runtime`, so that it outlives the connection
-    /// that the answer goes to.
+    /// Creates a settler whose tasks run on `runtime`, so that they outlive the
+    /// connection of the caller.
     #[must_use]
     pub fn new(
         ledgers: Arc<Ledgers>,
@@ -104,19 +106,20 @@
         &self.counts
     }
 
-    /// Whether a charge waits for a ledger beyond the time that an answer waits for
-    /// it; no new work is admitted meanwhile.
+    /// Whether some charge was not stored within the time for which the end of an
+    /// answer is held back. No new work is admitted meanwhile.
     #[must_use]
     pub fn is_stuck(&self) -> bool {
         self.counts.stuck.load(Ordering::Relaxed) > 0
     }
 
-    /// Charges `cost` on the incarnation of `seat`; returns once a ledger has stored
-    /// the charge, or after the wait that an answer's end is given. The answer is what
-    /// the key was charged before, if the ledger knows of it: the charge is void then.
+    /// Charges `cost` to the incarnation of `membership`. Returns when a ledger has
+    /// stored the charge, or after the maximum time for which the end of an answer is
+    /// held back. The returned tokens are those for which the key was charged before,
+    /// if the ledger knows of it; this charge is void then.
     ///
-    /// The charge is followed to the log's word once the [`ChargeGuard`] is dropped, which
-    /// the request does when its answer's end is on the way.
+    /// Dropping the [`ChargeGuard`] starts the background task that waits for the
+    /// log's decision. The request drops it when the end of its answer is sent.
     pub async fn settle(
         self: &Arc<Self>,
         membership: &Arc<Membership>,
@@ -141,8 +144,8 @@
             job: Some(job),
             replies: None,
         };
-        // The first ledger is asked from this thread: it saves the end of the answer
-        // two changes of thread.
+        // Calling the first ledger from this thread saves the end of the answer two
+        // thread switches.
         if let Some(ledger) = by_preference(self.ledgers.far()).first() {
             if let Some((charged, replies)) = guard.job().store(&ledger.client).await {
                 guard.replies = Some(replies);
@@ -156,14 +159,15 @@
         guard.detach();
         let outcome = timeout(left, stored).await;
         if outcome.is_err() {
-            // Before the answer's end goes out: its caller's next request must find it.
-            self.note_stuck(&progress, key);
+            // Set before the end of the answer is sent: the caller's next request must
+            // see it.
+            self.mark_stuck(&progress, key);
         }
         (outcome.ok().and_then(Result::ok).flatten(), guard)
     }
 
-    /// Notes that no ledger stored the charge of `key` within the wait.
-    fn note_stuck(&self, progress: &Progress, key: RequestKey) {
+    /// Counts the charge of `key` as stuck: no ledger stored it in time.
+    fn mark_stuck(&self, progress: &Progress, key: RequestKey) {
         if !progress.set_stuck() {
             return;
         }
@@ -171,7 +175,7 @@
         event!(error, "charge.stuck", key = key);
     }
 
-    /// Waits until no charge is pending; false when `limit` comes first.
+    /// Waits until no charge is pending. Returns false when `limit` is reached first.
     pub async fn drain(&self, limit: Instant) -> bool {
         while self.counts.pending.load(Ordering::Relaxed) > 0 {
             if Instant::now() >= limit {
@@ -183,21 +187,21 @@
     }
 }
 
-/// Holds a charge on the thread of its answer. Dropped, for whatever reason, it lets
-/// the charge go on in the background.
+/// Keeps a charge on the thread of its answer. Dropping it, for any reason, continues
+/// the charge in the background.
 #[derive(Debug)]
 pub struct ChargeGuard {
     job: Option<Job>,
-    /// Where the log's word comes from, if a ledger has stored the charge.
+    /// Delivers the log's decision if a ledger has stored the charge.
     replies: Option<ReplyStream>,
 }
 
 impl ChargeGuard {
     fn job(&mut self) -> &mut Job {
-        self.job.as_mut().expect("taken only when departing")
+        self.job.as_mut().expect("taken only by detach")
     }
 
-    /// Goes on in the background.
+    /// Continues the charge in the background.
     fn detach(&mut self) {
         if let Some(job) = self.job.take() {
             let runtime = job.settler.runtime.clone();
@@ -212,24 +216,24 @@
     }
 }
 
-/// One charge on its way.
+/// A charge that the log has not decided yet.
 #[derive(Debug)]
 struct Job {
     settler: Arc<Settler>,
-    /// Incarnation that is charged.
+    /// Keeps the charged incarnation from being replaced.
     membership: WorkGuard,
     serial: u64,
     cost: Cost,
     _hold: KeyHold,
     start: Instant,
-    /// Some ledger has it, or the log has decided it.
+    /// Whether some ledger has stored it or the log has decided it.
     is_stored: bool,
-    /// Who waits for the storing.
+    /// Receives the ledger's answer when the charge is stored.
     stored_tx: Option<oneshot::Sender<Option<Tokens>>>,
     progress: Arc<Progress>,
 }
 
-/// How far a charge is, for the answer that waits for it and for the job that goes on.
+/// State of a charge, shared by the answer that waits for it and the background job.
 #[derive(Debug, Default)]
 struct Progress(AtomicU8);
 
@@ -238,7 +242,7 @@
     const STUCK: u8 = 1;
     const STORED: u8 = 2;
 
-    /// The wait is over. Says whether that is news.
+    /// Marks a waiting charge as stuck. Returns whether the state changed.
     fn set_stuck(&self) -> bool {
         let (old, new) = (Self::WAITING, Self::STUCK);
         let changed = self
@@ -247,15 +251,15 @@
         changed.is_ok()
     }
 
-    /// A ledger has it. Says whether it was stuck.
+    /// Marks the charge as stored. Returns whether it was stuck.
     fn set_stored(&self) -> bool {
         self.0.swap(Self::STORED, Ordering::AcqRel) == Self::STUCK
     }
 }
 
 impl Job {
-    /// Follows `replies` of the ledger that stored the charge, and hands it to other
-    /// ledgers until the log has decided it.
+    /// Waits for the decision on `replies` of the ledger that stored the charge, and
+    /// submits the charge to other ledgers until the log has decided it.
     async fn run(mut self, replies: Option<ReplyStream>) {
         let ledgers = Arc::clone(&self.settler.ledgers);
         let mut retry = self.settler.retry;
@@ -272,18 +276,18 @@
                     return self.finish(fate);
                 }
                 ledger.deprioritize();
-                self.note_stuck();
+                self.mark_stuck();
             }
             if self.is_stored {
                 retry = (retry * 2).min(RETRY_CAP);
             }
             tokio::time::sleep(ROUND_PAUSE).await;
-            self.note_stuck();
+            self.mark_stuck();
         }
     }
 
-    /// Hands the charge to one ledger and waits until it has stored it; the answer
-    /// begins with what the key was charged before, as far as the ledger knows.
+    /// Submits the charge to one ledger and waits until it is stored. Also returns the
+    /// tokens for which the key was charged before, as far as the ledger knows.
     async fn store(&mut self, client: &Arc<Client>) -> Option<(Option<Tokens>, ReplyStream)> {
         let limit = self.settler.attempt_timeout;
         let settle = request::Kind::Settle(self.message());
@@ -298,7 +302,7 @@
         }
     }
 
-    /// Waits for the log's word on a charge that a ledger has stored.
+    /// Waits for the log's decision on a charge that a ledger has stored.
     async fn wait_fate(
         &mut self,
         replies: &mut ReplyStream,
@@ -335,7 +339,7 @@
         }
         self.is_stored = true;
         if let Some(stored_tx) = self.stored_tx.take() {
-            // The answer's end may have stopped waiting.
+            // The receiver may have timed out.
             let _sent = stored_tx.send(charged);
         }
         let us = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX);
@@ -346,11 +350,11 @@
         }
     }
 
-    fn note_stuck(&mut self) {
+    fn mark_stuck(&mut self) {
         if self.is_stored || self.start.elapsed() < self.settler.wait {
             return;
         }
-        self.settler.note_stuck(&self.progress, self.cost.key);
+        self.settler.mark_stuck(&self.progress, self.cost.key);
     }
 
     fn finish(self, fate: ChargeFate) {
@@ -372,7 +376,7 @@
                 );
                 let Cost { workspace, key, .. } = &self.cost;
                 self.settler.past.note_void(workspace, *key);
-                // The log drew nothing, so the rights are still held here.
+                // The log charged nothing, so this router still holds the tokens.
                 if let Some(account) = self.membership.find(&self.cost.budget) {
                     account.grant.credit(self.cost.cost);
                 }
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -1,7 +1,7 @@
-//! Claims rights for one account, one claim at a time, and returns what is surplus.
+//! Claims quota for one account, one claim at a time, and returns surplus quota.
 //!
-//! A claim that got no answer is submitted again, the same record, until the log
-//! has decided it: its rights may have been granted.
+//! A claim without an answer may have been granted. The same record is therefore
+//! submitted again until the log has decided it.
 
 mod budget_view;
 
@@ -25,41 +25,42 @@
 use crate::ledgers::Ledgers;
 use crate::members::Membership;
 
-/// Time between looks at the demand of an account in use.
+/// Time between checks of the demand of an account in use.
 const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two looks, so that no run of claims or wakes keeps a thread busy.
+/// Minimum time between two checks, so that a series of claims or wakeups can't keep a
+/// thread busy.
 const MIN_CYCLE_TIME: Duration = Duration::from_millis(5);
-/// Pause of a claimer whose waiters must be answered from the last news.
+/// Time between checks while requests wait that are answered from the last outcome.
 const WAITER_INTERVAL: Duration = Duration::from_millis(20);
-/// First and largest pause between submissions of one record.
+/// First and maximum delay between submissions of one record.
 const RETRY_BASE: Duration = Duration::from_millis(100);
 const RETRY_CAP: Duration = Duration::from_secs(2);
 
-/// What claimers share.
+/// State that all claimers share.
 #[derive(Debug)]
 pub struct ClaimContext {
-    /// Where records are submitted.
+    /// Ledgers to which records are submitted.
     pub ledgers: Arc<Ledgers>,
     /// The configuration in force.
     pub config: Arc<ConfigView>,
-    /// Counts of claims.
+    /// Receives the counts of claims.
     pub metrics: Metrics,
-    /// Longest wait for one submission.
+    /// Maximum wait for one submission.
     pub wait: Duration,
-    /// Longest time for which a refused claim's answer stands.
+    /// Maximum time for which the outcome of a refused claim stays valid.
     pub pause: Duration,
-    /// Ends all claimers.
+    /// Stops all claimers.
     pub stop: CancellationToken,
 }
 
-/// Starts claimers, on a runtime that outlives the connections of callers.
+/// Starts claimers on a runtime that outlives the connections of callers.
 #[derive(Debug, Clone)]
 pub struct Claimers {
-    /// What the claimers share.
+    /// State that the claimers share.
     pub context: Arc<ClaimContext>,
-    /// Where they run.
+    /// Runtime of the claimers.
     pub runtime: Handle,
-    /// Who waits for them at a stop.
+    /// Tracks the claimers, so that a stop can wait for them.
     pub tasks: TaskTracker,
 }
 
@@ -93,12 +94,12 @@
     seq: u64,
     topped_up: Tokens,
     sharers: u32,
-    /// The budget as a ledger last knew it.
+    /// State of the budget as last reported by a ledger.
     view: watch::Receiver<BudgetView>,
 }
 
 impl Claimer {
-    /// A claimer for `account` on `seat`.
+    /// Creates a claimer for `account` of `membership`.
     #[must_use]
     pub fn new(
         context: Arc<ClaimContext>,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Claims and returns until stopped or until the incarnation is retired.
+    /// Claims and returns quota until stopped or until the incarnation is retired.
     pub async fn run(mut self) {
         let stop = self.context.stop.clone();
         while !stop.is_cancelled() && !self.membership.is_retired() {
@@ -138,17 +139,17 @@
                 self.sleep().await;
             }
         }
-        // Those who still wait are told that nothing more comes.
+        // Requests that still wait won't get any more quota.
         self.account.update_status(|status| {
             status.is_failed = true;
             status.updated_at = Some(Instant::now());
         });
     }
 
-    /// Makes at most one claim or return; whether a claim was made.
+    /// Makes at most one claim or return. Returns whether it made a claim.
     async fn run_once(&mut self) -> bool {
         let now = self.now();
-        // Before the demand: a request that has stopped to wait is counted there.
+        // Read before the demand, which includes requests that have stopped waiting.
         let waiting = self.account.waiting();
         self.sizer.observe(now, self.account.grant.demand());
         self.account.set_wake_threshold(self.sizer.target(now) / 2);
@@ -158,7 +159,7 @@
             return true;
         }
         if waiting.min_cost > available {
-            // In a pause between claims the last answer stands.
+            // Between two claims the last outcome stays valid.
             self.account
                 .update_status(|status| status.updated_at = Some(Instant::now()));
         } else if let Some(extra) = self.sizer.surplus(now, available) {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Takes the budget's settings and news of top-ups from the configuration.
+    /// Reads the budget's settings and top-ups from the configuration.
     fn refresh(&mut self) {
         let config = self.context.config.load();
         let Some(spec) = config.budgets.get(self.account.budget.as_str()) else {
@@ -209,7 +210,7 @@
         self.read_view();
     }
 
-    /// Takes what a ledger says of the budget.
+    /// Passes the budget's state, as reported by a ledger, to the sizer.
     fn read_view(&mut self) {
         if !self.view.has_changed().unwrap_or(false) {
             return;
@@ -231,7 +232,7 @@
             need: size.need,
             want: size.want,
         };
-        let Some(decided) = self.decide(record::Kind::Claim(claim)).await else {
+        let Some(decided) = self.submit_until_decided(record::Kind::Claim(claim)).await else {
             return;
         };
         match decided.fate {
@@ -299,14 +300,14 @@
         });
     }
 
-    /// Gives back up to `amount` available rights.
+    /// Returns up to `amount` available tokens to the budget.
     async fn give_back(&mut self, amount: Tokens) {
         let taken = self.account.grant.shrink(amount);
         if taken == 0 {
             return;
         }
         let kind = record::Kind::GiveBack(self.account.give_back(&self.membership));
-        let _decided = self.decide(kind).await;
+        let _decided = self.submit_until_decided(kind).await;
         event!(
             debug,
             "grant.returned",
@@ -315,8 +316,9 @@
         );
     }
 
-    /// Submits the record until the log has decided it; `None` when stopped before.
-    async fn decide(&mut self, kind: record::Kind) -> Option<Decided> {
+    /// Submits the record until the log has decided it. Returns `None` when stopped
+    /// before.
+    async fn submit_until_decided(&mut self, kind: record::Kind) -> Option<Decided> {
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
         let start = Instant::now();
         let mut is_first = true;
@@ -325,8 +327,9 @@
             let context = &self.context;
             let submitted = tokio::select! {
                 () = context.stop.cancelled() => return None,
-                submitted = context.ledgers.submit(self.membership.shard, kind.clone(), context.wait)
-                    => submitted,
+                submitted = context
+                    .ledgers
+                    .submit(self.membership.shard, kind.clone(), context.wait) => submitted,
             };
             match submitted {
                 Ok(fate) => {
@@ -370,12 +373,13 @@
 /// A record's fate.
 struct Decided {
     fate: fate::Kind,
-    /// How long the log took; `None` after a retry, which times an outage.
+    /// Time that the log took; `None` after a retry, whose duration would include an
+    /// outage.
     took: Option<Duration>,
 }
 
 impl Account {
-    /// The record that returns all rights taken out of use so far.
+    /// The record that returns all tokens withdrawn from use so far.
     #[must_use]
     pub fn give_back(&self, membership: &Membership) -> Return {
         Return {
--- a/crates/router/src/claim/budget_view.rs
+++ b/crates/router/src/claim/budget_view.rs
@@ -1,7 +1,8 @@
-//! News of a budget's free tokens, read from a ledger while the account is in use.
+//! Polls a ledger for a budget's free tokens while the account is in use.
 //!
-//! A claim tells what was free when it was decided; a router that has enough for a
-//! while would otherwise not hear that the budget nears its end, or was filled.
+//! A claim reports the tokens that were free when it was decided. Without polling, a
+//! router that has enough quota for a while would not learn that the budget is nearly
+//! spent or was topped up.
 
 use std::time::Duration;
 
@@ -14,10 +15,11 @@
 
 /// Time between two reads.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for a ledger's answer.
+/// Maximum wait for a ledger's answer.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Reads the budget's view about once a second in which requests asked for rights.
+/// Reads the budget's state every [`READ_INTERVAL`] during which requests asked for
+/// quota.
 pub(super) async fn follow(
     context: &ClaimContext,
     account: &Account,
@@ -37,7 +39,7 @@
     }
 }
 
-/// What the nearest connected ledger knows of the budget.
+/// Reads the budget's state from the nearest connected ledger.
 async fn read(context: &ClaimContext, account: &Account) -> Option<BudgetView> {
     let ledgers = by_preference(context.ledgers.near());
     let ledger = ledgers.first()?;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: followed from any ledger, published to requests.
+//! The current configuration: replicated from any ledger and published to requests.
 //!
-//! It is as old as the last moment at which some ledger knew the log's end and this
-//! router had folded up to it. It never goes back.
+//! Its age counts from the last time at which a ledger knew the log's end and this
+//! router had applied all records up to it. It never goes back to an earlier version.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,37 +24,40 @@
 use crate::ledgers::{Ledgers, describe};
 use crate::pings::NEVER_MS;
 
-/// A ledger that sends no page for so long is left for another.
+/// Maximum wait for a page before another ledger is followed.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Age from which on the log counts as out. Ledgers tell their knowledge of its end
-/// at least every second.
+/// Age above which the log counts as unavailable. Ledgers report what they know of the
+/// log's end at least every second.
 const LOG_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// First and largest pause between tries.
+/// First and maximum delay between attempts.
 const RETRY_BASE: Duration = Duration::from_millis(50);
 const RETRY_CAP: Duration = Duration::from_millis(1_000);
 
-/// Time of the view's clock at its start: what a ledger knew long before can be told.
+/// Reading of the view's clock at its start. It is large so that times long before the
+/// start can be represented.
 const CLOCK_START: Micros = 1 << 60;
 
-/// The published configuration; reading it takes no lock.
+/// The published configuration. Reading it takes no lock.
 #[derive(Debug)]
 pub struct ConfigView {
     current: ArcSwap<Config>,
     pools: Arc<Pools>,
     start: Instant,
     freshness: Mutex<Freshness>,
-    /// Time of this view's clock of which the configuration is known
-    /// to be the newest, plus one; 0 before the first.
+    /// Time on this view's clock at which the configuration was known to be the
+    /// newest, plus one; 0 before the first.
     confirmed_at: AtomicU64,
-    /// The same for the moment until which it may be taken for the newest.
+    /// Time until which the configuration may be treated as the newest, encoded the
+    /// same way.
     trusted_until: AtomicU64,
-    /// Offset of the configuration stream that is read next.
+    /// Next offset to read from the configuration stream.
     offset: AtomicU64,
     changed: watch::Sender<u64>,
 }
 
 impl ConfigView {
-    /// An empty configuration of unlimited age; `pools` get each new one first.
+    /// Creates a view of an empty configuration of unlimited age. `pools` receives each
+    /// new configuration before it is published.
     #[must_use]
     pub fn new(pools: Arc<Pools>, freshness: Freshness) -> Arc<Self> {
         Arc::new(Self {
@@ -69,7 +72,7 @@
         })
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     #[must_use]
     pub fn load(&self) -> Arc<Config> {
         self.current.load_full()
@@ -96,31 +99,32 @@
         self.freshness().trust_at(now)
     }
 
-    /// Offset of the configuration stream that is read next.
+    /// Next offset to read from the configuration stream.
     #[must_use]
     pub fn offset(&self) -> u64 {
         self.offset.load(Ordering::Relaxed)
     }
 
-    /// Time of this view's clock.
+    /// Time on this view's clock.
     #[must_use]
     pub fn now(&self) -> Micros {
         CLOCK_START.saturating_add(micros(self.start.elapsed()))
     }
 
-    /// Notes the answer of ledger number `ledger` of the nearest first.
+    /// Records the ping answer of a ledger; `ledger` is its index in the list that
+    /// starts with the router's own failure domain.
     pub fn on_pong(&self, ledger: usize, pong: Pong) {
         self.update_freshness(|freshness| freshness.on_pong(ledger, pong));
     }
 
-    /// Whether no ledger has heard from the log lately, as far as this router knows:
-    /// what needs the log's word need not wait for it.
+    /// Whether, as far as this router knows, no ledger was in contact with the log
+    /// recently. Requests that need a decision of the log need not wait for one then.
     #[must_use]
     pub fn is_log_silent(&self) -> bool {
         self.age().is_none_or(|age| age > LOG_TIMEOUT)
     }
 
-    /// Tells of each new version.
+    /// Receives each new version.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
@@ -131,15 +135,16 @@
             return;
         }
         let version = config.version;
-        // Before a request can find the pool in the configuration in force: else it
-        // would be refused as if the pool didn't exist.
+        // Configured first: a request that found the pool only in the current
+        // configuration would be refused as if the pool didn't exist.
         self.pools.configure(&config);
         self.current.store(config);
         self.changed.send_replace(version);
         event!(info, "config.applied", version = version);
     }
 
-    /// Notes that the configuration was the newest `age` ago, perhaps before the start.
+    /// Records that the configuration was the newest `age` ago, which may be before
+    /// this process started.
     pub fn confirm(&self, age: Duration) {
         let known = self.now().saturating_sub(micros(age));
         self.confirmed_at.fetch_max(known + 1, Ordering::Relaxed);
@@ -152,7 +157,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes news in, and publishes until when the configuration may be trusted.
+    /// Applies `update` and publishes the time until which the configuration may be
+    /// trusted.
     fn update_freshness(&self, update: impl FnOnce(&mut Freshness)) {
         let mut freshness = self.freshness();
         update(&mut freshness);
@@ -167,7 +173,7 @@
     Micros::try_from(time.as_micros()).unwrap_or(Micros::MAX - 1)
 }
 
-/// Follows the configuration until `stop`, from one ledger after another.
+/// Replicates the configuration until `stop`, from one ledger after another.
 pub async fn follow(
     view: Arc<ConfigView>,
     ledgers: Arc<Ledgers>,
@@ -200,7 +206,7 @@
             }
             Err(_) => {}
         }
-        // Own ledger first again after a full round.
+        // After a full round, restart with the ledgers of the own failure domain.
         if index >= ledgers.near().len() {
             index = 0;
             let pause = backoff.next(rand::random());
@@ -219,7 +225,7 @@
 }
 
 impl Follower {
-    /// Follows one ledger; returns `Ok` when it served pages before it was left.
+    /// Follows one ledger. Returns `Ok` when it served pages before it failed.
     async fn run(&mut self, client: &Arc<Client>) -> Result<(), String> {
         let follow = Follow {
             stream: CONFIG_STREAM.to_owned(),
@@ -232,7 +238,9 @@
             let reply = match timeout(PAGE_TIMEOUT, replies.next()).await {
                 Ok(Some(reply)) => reply,
                 Ok(None) => return on_source_end(served, "ledger ended the stream".to_owned()),
-                Err(_elapsed) => return on_source_end(served, "ledger silent".to_owned()),
+                Err(_elapsed) => {
+                    return on_source_end(served, "ledger did not respond in time".to_owned());
+                }
             };
             let page = match reply {
                 Ok(reply::Kind::Page(page)) => page,
@@ -242,7 +250,7 @@
             self.apply(&page)?;
             served = true;
             if Duration::from_millis(page.age_ms) > self.stale / 2 {
-                return Err("ledger has lost the log".to_owned());
+                return Err("ledger has lost contact with the log".to_owned());
             }
         }
     }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! Dispatch of a request to a backend server: queue, choice, connection, retry.
+//! Dispatch of a request to a backend server: queueing, selection, connection, retries.
 //!
-//! A request that certainly did not reach a server goes to another one. One that
-//! may have reached it goes to another only if it is idempotent and the pool's
-//! retry budget allows.
+//! A request that certainly did not reach a server is sent to another one. One that
+//! may have reached a server is retried only if it is idempotent and the pool's retry
+//! budget allows it.
 
 use std::time::Duration;
 
@@ -24,28 +24,28 @@
 use crate::queue::Slot;
 use swiftlink_gateway::upstream::{PendingResponse, SendError, send};
 
-/// When to come back after a deadline that passed before an answer.
+/// Retry delay after the deadline passed before an answer.
 const DEADLINE_RETRY: Duration = Duration::from_secs(1);
-/// Most of an engine's refusal that is passed on (bytes).
+/// Maximum length of an engine's refusal that is forwarded (bytes).
 const MAX_EXCERPT: usize = 1_024;
 
-/// The rights and the history of one request's dispatches.
+/// The quota reserved for one request, and the history of its dispatches.
 #[derive(Debug, Default)]
 pub struct Attempt {
-    /// Rights reserved for the run.
+    /// Quota reserved for the run.
     pub rights: Option<Reservation>,
     /// The won intent of a non-idempotent request.
     pub intent: Option<Intent>,
-    /// What the router remembers of the run.
+    /// The router's record of the run.
     pub past: Option<PastRun>,
-    /// Servers that were tried.
+    /// Servers to which the request was sent.
     pub tried: Vec<ServerIdx>,
-    /// A server may have run the request.
+    /// Whether a server may have run the request.
     pub maybe_ran: bool,
 }
 
 impl Attempt {
-    /// From now on a server may run the request.
+    /// Marks the request as dispatched: from here on a server may run it.
     fn dispatch(&mut self) {
         if let Some(rights) = self.rights.as_mut() {
             rights.dispatch();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The last dispatch certainly did not reach a server.
+    /// Undoes the last dispatch, which certainly did not reach a server.
     fn recall(&mut self) {
         if self.maybe_ran {
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The refusal as it is when a server may have run the request.
+    /// Changes the refusal to an unknown outcome if a server may have run the request.
     #[must_use]
     pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         if !self.maybe_ran {
@@ -87,19 +87,19 @@
     }
 }
 
-/// An answer that has begun to come.
+/// A server's answer whose head has been received.
 #[derive(Debug)]
 pub struct ServerResponse {
     /// The answer.
     pub answer: PendingResponse,
-    /// The server that gives it.
+    /// The server that sends it.
     pub target: Target,
 }
 
 /// Waits for a slot of the call's pool.
 ///
 /// # Errors
-/// When no server takes work, or the queue refuses.
+/// Fails when no server accepts work, or when the queue refuses the request.
 pub async fn wait_slot(call: &Call) -> Result<Slot, Refusal> {
     let (open, retry) = call.pool.availability();
     if open == 0 {
@@ -108,11 +108,11 @@
     call.pool.queue.acquire(call.arrival()).await
 }
 
-/// Sends the request that `make` builds for a server, to one server after another
-/// until one answers. `is_model`: an answer other than 200 is no answer.
+/// Sends the request that `make` builds to one server after another until one answers.
+/// With `is_model`, only status 200 counts as an answer.
 ///
 /// # Errors
-/// `not-run` only if no server can have seen the request.
+/// The refusal's outcome is `not-run` only if no server can have received the request.
 pub async fn open(
     node: &Node,
     call: &Call,
@@ -134,8 +134,8 @@
         };
         attempt.tried.push(target.idx);
         attempt.dispatch();
-        // A silent engine is left for another; a run that must not repeat, and a
-        // service of any speed, have until the deadline.
+        // A request that may be repeated leaves an engine that doesn't respond. A run that
+        // must not repeat, and a service, whose speed is unknown, have until the deadline.
         let mut options = node.send_options(left, call.once);
         if is_model && !call.once {
             options.head = left.min(node.read_options().stall);
@@ -179,10 +179,10 @@
     }
 }
 
-/// Whether a request that may have run can be sent to another server.
+/// Checks that a request that may have run can be sent to another server.
 ///
 /// # Errors
-/// The final answer, when it can't.
+/// Returns the final refusal if it can't.
 pub fn may_retry(call: &Call, attempt: &mut Attempt, why: &str) -> Result<(), Refusal> {
     attempt.maybe_ran = true;
     if !call.once && call.pool.retries.take() {
@@ -192,7 +192,10 @@
     Err(Refusal::unknown(RefusalKind::ServerFailed, detail))
 }
 
-/// An engine answered with another status than 200.
+/// Handles an engine's answer with a status other than 200.
+///
+/// # Errors
+/// Returns the final refusal if the request can't be sent to another server.
 async fn failed_status(
     call: &Call,
     attempt: &mut Attempt,
@@ -207,7 +210,7 @@
     let bytes = body.map(|body| body.to_bytes()).unwrap_or_default();
     let excerpt = String::from_utf8_lossy(&bytes).into_owned();
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
-        // The engine read the request and would not run it.
+        // The engine rejected the request without running it.
         attempt.recall();
         drop(target);
         let detail = format!("the engine answered {status}: {excerpt}");
--- a/crates/router/src/dump.rs
+++ b/crates/router/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a router, for operators.
+//! State dump of a router, for operators.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,14 +10,14 @@
 use crate::health::{HealthInputs, HealthIssue};
 use crate::node::Node;
 
-/// Shows a node's state.
+/// Serializes a node's state.
 #[derive(Debug)]
 pub struct NodeDump {
     node: Arc<Node>,
 }
 
 impl NodeDump {
-    /// Shows the state of `node`.
+    /// Creates a dump of `node`.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Self {
         Self { node }
@@ -67,7 +67,10 @@
         let memberships = node.members.all();
         let memberships: Vec<_> = memberships
             .iter()
-            .map(|membership| json!({"shard": membership.shard, "incarnation": membership.incarnation.to_string()}))
+            .map(|membership| {
+                let incarnation = membership.incarnation.to_string();
+                json!({"shard": membership.shard, "incarnation": incarnation})
+            })
             .collect();
         let ledgers: Vec<_> = node
             .ledgers
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -1,4 +1,4 @@
-//! Requests to model engines and plain services, as they expect them.
+//! Requests to model engines and plain services, and their headers and load reports.
 
 use std::net::SocketAddr;
 
@@ -9,11 +9,11 @@
 use serde::Deserialize;
 use swiftlink_types::RequestKey;
 
-/// Header with the request key, for the backend server's own records.
+/// Header with the request key, for the logs of the backend server.
 pub const KEY_HEADER: &str = "x-request-key";
 /// Header with the weight of the request's priority class.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Header of a refusal of new work by a backend server that is leaving.
+/// Header of a refusal of new work by a draining backend server.
 pub const DRAINING_HEADER: &str = "x-draining";
 /// Header with the engine's id of an answer's stream.
 pub const STREAM_HEADER: &str = "x-stream-id";
@@ -35,7 +35,7 @@
     request
 }
 
-/// A request for the rest of a stream, from chunk `from` on.
+/// A request for the remainder of a stream, starting with chunk `from`.
 #[must_use]
 pub fn resume(address: SocketAddr, stream: &str, from: u64) -> Request<Full<Bytes>> {
     let path = format!("/v1/streams/{stream}?from={from}");
@@ -49,7 +49,7 @@
     plain(address, Method::DELETE, &path, Bytes::new())
 }
 
-/// A request without any further header.
+/// A request with no header but `Host`.
 #[must_use]
 pub fn plain(address: SocketAddr, method: Method, path: &str, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
@@ -63,7 +63,7 @@
     request
 }
 
-/// Adds the request key and the class weight.
+/// Adds the headers with the request key and the class weight.
 pub fn add_headers(headers: &mut HeaderMap, key: RequestKey, weight: u32) {
     if let Ok(value) = HeaderValue::from_str(&key.to_string()) {
         headers.insert(KEY_HEADER, value);
@@ -71,14 +71,15 @@
     headers.insert(PRIORITY_HEADER, HeaderValue::from(weight));
 }
 
-/// Whether a backend server refused the request because it is leaving; nothing ran.
+/// Whether a backend server refused the request because it is draining. The request
+/// was not run.
 #[must_use]
 pub fn is_draining(status: StatusCode, headers: &HeaderMap) -> bool {
     let marked = headers.get(DRAINING_HEADER);
     status == StatusCode::SERVICE_UNAVAILABLE && marked.is_some_and(|value| value == "true")
 }
 
-/// The engine's id of the answer's stream, if it is fit to stand in a path.
+/// The engine's id of the answer's stream, if it is safe to use in a path.
 #[must_use]
 pub fn stream_id(headers: &HeaderMap) -> Option<String> {
     let id = headers.get(STREAM_HEADER)?.to_str().ok()?;
@@ -96,13 +97,13 @@
     /// Requests waiting inside the server.
     #[serde(default)]
     pub waiting: u32,
-    /// Requests that it runs at a time.
+    /// Maximum number of requests that run at a time.
     #[serde(default)]
     pub slots: u32,
     /// Share of the KV cache in use.
     #[serde(default)]
     pub kv_used: f64,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     #[serde(default)]
     pub draining: bool,
     /// Age of the figures (ms).
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The pools and their backend servers, as the configuration, the VM list and the
-//! servers themselves describe them.
+//! The pools and their backend servers, as described by the configuration, the VM list
+//! and the load reports of the servers.
 
 use std::collections::HashMap as StdHashMap;
 use std::net::SocketAddr;
@@ -18,38 +18,39 @@
 
 use crate::queue::PoolQueue;
 
-/// Times to the first token below this differ by prompts and by the engines' steps,
-/// not by queues at the engines; they don't take slots away.
+/// Times to the first token below this minimum vary with prompts and with the engines'
+/// steps, not with queues at the engines. They don't reduce the slots.
 const MIN_FIRST_TOKEN: Duration = Duration::from_millis(250);
 
-/// One pool: its queue, its servers and its retries.
+/// One pool: its queue, its servers and its retry budget.
 #[derive(Debug)]
 pub struct Pool {
     /// Name of the pool.
     pub name: PoolName,
-    /// The queue before its servers.
+    /// Queue of requests that wait for a slot of its servers.
     pub queue: Arc<PoolQueue>,
-    /// Bounds the retries.
+    /// Limits the retries.
     pub retries: RetryBudget,
-    /// Its servers are model engines.
+    /// Whether its servers are model engines.
     is_model: bool,
     fleet: Mutex<Fleet>,
     addresses: ArcSwap<StdHashMap<ServerName, SocketAddr>>,
     start: Instant,
 }
 
-/// A backend server chosen for a request. Ends in one of [`Target::done`],
-/// [`Target::failed`], [`Target::draining`] and its drop.
+/// A backend server selected for a request. It is consumed by [`Target::done`],
+/// [`Target::failed`] or [`Target::draining`], or it is dropped when the request ends
+/// without evidence about the server.
 #[derive(Debug)]
 pub struct Target {
     /// Name of the server.
     pub name: ServerName,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Names it to the pool.
+    /// Its index in the pool.
     pub idx: ServerIdx,
     pool: Arc<Pool>,
-    sent: Option<Dispatch>,
+    dispatch: Option<Dispatch>,
 }
 
 impl Pool {
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Chooses a server for a request; `None` when none can take it now.
+    /// Selects a server for a request; `None` when none can accept it now.
     #[must_use]
     pub fn choose(
         self: &Arc<Self>,
@@ -93,8 +94,8 @@
             ..PickArgs::default()
         };
         let mut fleet = self.lock();
-        let sent = fleet.send(&pick, &mut rand::rng())?;
-        let idx = sent.idx;
+        let dispatch = fleet.send(&pick, &mut rand::rng())?;
+        let idx = dispatch.idx;
         let name = fleet.get(idx).map(|server| server.name().clone());
         drop(fleet);
         let name = name?;
@@ -104,7 +105,7 @@
             name,
             idx,
             pool: Arc::clone(self),
-            sent: Some(sent),
+            dispatch: Some(dispatch),
         };
         if address.is_none() {
             target.end(Fleet::on_abandoned);
@@ -113,7 +114,7 @@
         Some(target)
     }
 
-    /// Address of a server of the pool, leaving or not.
+    /// Address of a server of the pool, draining or not.
     #[must_use]
     pub fn address(&self, server: &str) -> Option<SocketAddr> {
         self.addresses.load().get(server).copied()
@@ -125,15 +126,15 @@
         self.is_model
     }
 
-    /// Whether some server takes new work, and when one may be tried again if all
-    /// are ejected.
+    /// Number of servers that accept new work, and the time until an ejected server may
+    /// be probed if there are none.
     #[must_use]
     pub fn availability(&self) -> (usize, Option<Duration>) {
         let fleet = self.lock();
         (fleet.open_len(), fleet.probe_in(self.now()))
     }
 
-    /// The servers whose load this router follows.
+    /// The servers whose load this router polls.
     #[must_use]
     pub fn polled(&self) -> Vec<(ServerIdx, SocketAddr)> {
         let members = self.lock().members();
@@ -147,17 +148,17 @@
         polled
     }
 
-    /// Takes a server's load report.
+    /// Records a server's load report.
     pub fn on_report(&self, idx: ServerIdx, report: LoadReport) {
         self.change(|fleet, now| fleet.on_report(idx, now, report));
     }
 
-    /// Takes the VM list.
+    /// Applies the VM list.
     pub fn set_vm_list(&self, list: &[ListedVm]) {
         self.change(|fleet, _now| fleet.set_vm_list(list));
     }
 
-    /// What is known of the servers.
+    /// Snapshot of the state of all servers.
     #[must_use]
     pub fn views(&self) -> Vec<ServerView> {
         self.lock().views(self.now())
@@ -183,7 +184,8 @@
         self.change(|fleet, _now| fleet.set_config(&specs));
     }
 
-    /// Changes the fleet and sets the queue's slots to the outcome.
+    /// Applies `change` to the fleet and updates the queue's slots if their number
+    /// changed.
     fn change(&self, change: impl FnOnce(&mut Fleet, Micros)) {
         let mut fleet = self.lock();
         let before = fleet.slots();
@@ -199,38 +201,39 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// A choice takes well under a microsecond, and the lock is one pool's.
+    /// Contention is low: a selection takes well under a microsecond, and each pool has
+    /// its own lock.
     fn lock(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Target {
-    /// The first part of the answer came.
+    /// Records that the first part of the answer was received.
     pub fn first_token(&mut self) {
         let now = self.pool.now();
-        let Some(sent) = self.sent.as_mut() else {
+        let Some(dispatch) = self.dispatch.as_mut() else {
             return;
         };
-        let took = Duration::from_micros(now.saturating_sub(sent.at));
-        self.pool.lock().on_first_token(sent, now);
+        let took = Duration::from_micros(now.saturating_sub(dispatch.at));
+        self.pool.lock().on_first_token(dispatch, now);
         if self.pool.is_model {
             self.pool.queue.on_first_token(took.max(MIN_FIRST_TOKEN));
         }
     }
 
-    /// The answer came to its end.
+    /// Records that the answer was completed.
     pub fn done(mut self) {
         self.pool.retries.on_success();
         self.end(Fleet::on_end);
     }
 
-    /// The request failed at the server.
+    /// Records that the request failed at the server.
     pub fn failed(mut self, kind: ErrorKind) {
-        self.end(|fleet, sent, now| fleet.on_error(sent, now, kind));
+        self.end(|fleet, dispatch, now| fleet.on_error(dispatch, now, kind));
     }
 
-    /// The server refused the request because it is leaving.
+    /// Records that the server refused the request because it is draining.
     pub fn draining(mut self) {
         let idx = self.idx;
         self.end(Fleet::on_abandoned);
@@ -238,8 +241,8 @@
     }
 
     fn end(&mut self, finish: impl FnOnce(&mut Fleet, Dispatch, Micros)) {
-        if let Some(sent) = self.sent.take() {
-            finish(&mut self.pool.lock(), sent, self.pool.now());
+        if let Some(dispatch) = self.dispatch.take() {
+            finish(&mut self.pool.lock(), dispatch, self.pool.now());
         }
     }
 }
@@ -260,7 +263,8 @@
 }
 
 impl Pools {
-    /// No pools yet, for a router in `domain`; `seed` sets its subsets apart.
+    /// Creates an empty set of pools for a router in `domain`. `seed` makes its server
+    /// subsets differ from those of other routers.
     #[must_use]
     pub fn new(domain: DomainName, subset: usize, seed: u64) -> Arc<Self> {
         Arc::new(Self {
@@ -271,7 +275,7 @@
         })
     }
 
-    /// The pool of this name.
+    /// The pool named `name`.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<Arc<Pool>> {
         self.pools.pin().get(name).map(Arc::clone)
@@ -288,7 +292,7 @@
         Pool::new(name.clone(), is_model, domain, self.subset, self.seed)
     }
 
-    /// Takes a new configuration. Not to be called by two tasks at once.
+    /// Applies a new configuration. Must not be called concurrently.
     pub fn configure(&self, config: &Config) {
         let pools = self.pools.pin();
         for (name, spec) in &config.pools {
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -1,4 +1,4 @@
-//! Headers and bodies that are passed on between a caller and another HTTP server.
+//! Forwarding of headers and bodies between a caller and another HTTP server.
 
 use std::io;
 
@@ -14,7 +14,7 @@
 use crate::reply::Piece;
 use swiftlink_gateway::upstream::Lease;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to one connection only.
 const HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -29,7 +29,7 @@
 /// Prefix of this system's own headers.
 const OWN_PREFIX: &str = "swiftlink-";
 
-/// The headers without those of one connection.
+/// Removes the hop-by-hop headers.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
@@ -48,8 +48,8 @@
     kept
 }
 
-/// The headers of a caller's request that a backend server gets: no credentials, and
-/// nothing that is meant for the router.
+/// The headers of a caller's request that are forwarded to a backend server: without
+/// credentials and without headers meant for the router.
 #[must_use]
 pub fn for_server(headers: &HeaderMap) -> HeaderMap {
     let mut kept = end_to_end(headers);
@@ -65,8 +65,8 @@
     kept
 }
 
-/// Passes a body on piece by piece; an early end cuts the caller's connection too.
-/// Whether it came to its end.
+/// Forwards a body frame by frame. If the body ends early, the caller's connection is
+/// closed as well. Returns whether the body was complete.
 pub async fn pass_body(
     mut body: Incoming,
     lease: &mut Lease,
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -1,46 +1,49 @@
-//! For how long the configuration may be taken for the newest one.
+//! Determines how long the configuration may be treated as the newest one.
 //!
-//! A configuration changes only through the log, by an operator that has read the
-//! change back from it. Operators run on the VMs of the ledgers. So the configuration
-//! is the newest one for a while after a ledger knew the log's end, and it stays so
-//! while *every* ledger says that the log is out for it too. One ledger that can't be
-//! asked may stand on the far side of a partition, where changes go on.
+//! The configuration changes only through the log, by an operator that has read the
+//! change back from it. Operators run on the VMs of the ledgers. The configuration is
+//! therefore the newest one for a limited time after a ledger knew the log's end, and
+//! for as long as *every* ledger reports that it can't reach the log either. A single
+//! ledger that can't be reached may be on the other side of a partition, where changes
+//! continue.
 //!
-//! Decisions only: times come in as arguments.
+//! This module does no I/O and reads no clock: times are arguments.
 
 use swiftlink_types::Micros;
 
-/// The times of the rule.
+/// Time limits for trusting the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessPolicy {
-    /// Age over which a configuration is stale by itself.
+    /// Maximum age of a configuration without reports of an outage of the log.
     pub max_age: Micros,
-    /// Time for which a ledger's answer speaks, from the moment it was asked.
+    /// Time for which a ledger's answer is valid, counted from sending the ping.
     pub pong_validity: Micros,
-    /// Age of a ledger's last contact from which on the log is out for it, and by which
-    /// its last contact may be newer than what is folded here.
+    /// Age of a ledger's last contact with the log from which on the log counts as
+    /// unavailable to it. Also the time by which its last contact may be newer than the
+    /// records applied here.
     pub outage_age: Micros,
 }
 
-/// A ledger's answer.
+/// A ledger's answer to a ping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pong {
-    /// When it was asked.
+    /// When the ping was sent.
     pub sent_at: Micros,
-    /// When its answer came.
+    /// When the answer was received.
     pub received_at: Micros,
-    /// Age of its last contact with the log; `None` when it had none since its start.
+    /// Age of the ledger's last contact with the log; `None` when it had none since its
+    /// start.
     pub log_age: Option<Micros>,
 }
 
 /// How far the configuration can be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trust {
-    /// None was ever known to be the newest.
+    /// No configuration was ever known to be the newest.
     None,
-    /// Some ledger knew lately that there is no newer one.
+    /// Some ledger knew recently that there is no newer one.
     Current,
-    /// The log is out for every ledger, so nothing can have been changed.
+    /// The log is unavailable to every ledger, so nothing can have been changed.
     LogUnavailable,
     /// A newer one may exist.
     Stale,
@@ -59,18 +62,19 @@
     }
 }
 
-/// What one ledger has said.
+/// Latest reports of one ledger.
 #[derive(Debug, Clone, Copy, Default)]
 struct LedgerReport {
-    /// When its newest answer was asked for, if that says that the log is out.
+    /// When the ping of its newest answer was sent, if that answer reports an outage of
+    /// the log.
     outage_sent_at: Option<Micros>,
-    /// When the newest answer was asked for.
+    /// When the ping of its newest answer was sent.
     sent_at: Micros,
-    /// Its latest contact with the log that was ever told.
+    /// Its latest contact with the log in any answer.
     last_contact: Option<Micros>,
 }
 
-/// What is known about the age of the configuration.
+/// Tracks until when the configuration may be trusted.
 #[derive(Debug, Clone)]
 pub struct Freshness {
     policy: FreshnessPolicy,
@@ -79,7 +83,7 @@
 }
 
 impl Freshness {
-    /// Nothing is known yet, of any of `ledgers` ledgers.
+    /// Creates a tracker of `ledgers` ledgers that have not reported yet.
     #[must_use]
     pub fn new(policy: FreshnessPolicy, ledgers: usize) -> Self {
         Self {
@@ -89,12 +93,13 @@
         }
     }
 
-    /// The configuration folded here was the newest at `known`.
+    /// Records that the configuration applied here was the newest at `known`.
     pub fn on_page(&mut self, known: Micros) {
         self.confirmed_at = self.confirmed_at.max(Some(known));
     }
 
-    /// Ledger number `ledger` has answered. Answers to older questions are passed over.
+    /// Records an answer of the ledger with index `ledger`. Answers to earlier pings than
+    /// the last recorded one are ignored.
     pub fn on_pong(&mut self, ledger: usize, pong: Pong) {
         let Some(report) = self.reports.get_mut(ledger) else {
             return;
@@ -103,7 +108,7 @@
             return;
         }
         report.sent_at = pong.sent_at;
-        // A ledger that had no contact since its start may have known more before.
+        // A ledger without contact since its start may have known newer records before.
         report.outage_sent_at = match pong.log_age {
             Some(age) if age >= self.policy.outage_age => Some(pong.sent_at),
             _ => None,
@@ -114,14 +119,14 @@
         }
     }
 
-    /// Moment of which the configuration is known to be the newest.
+    /// Latest time at which the configuration was known to be the newest.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<Micros> {
         self.confirmed_at
     }
 
-    /// Last moment at which the configuration may be taken for the newest, as far as
-    /// is known now.
+    /// Time until which the configuration may be treated as the newest, as far as is
+    /// known now.
     #[must_use]
     pub fn trusted_until(&self) -> Option<Micros> {
         let own = self.confirmed_at?.saturating_add(self.policy.max_age);
@@ -134,7 +139,8 @@
         let Some(known) = self.confirmed_at else {
             return Trust::None;
         };
-        // Told apart from the age at which it counts as stale, so that an outage shows early.
+        // Checked before the age, so that an outage is reported before the configuration
+        // would be stale.
         if self.outage_until().is_some_and(|until| now <= until) {
             return Trust::LogUnavailable;
         }
@@ -144,19 +150,20 @@
         Trust::Stale
     }
 
-    /// Last moment of the outage that all ledgers tell of; `None` when they don't.
+    /// Time until which the outage reported by all ledgers lasts; `None` unless all of
+    /// them report one.
     fn outage_until(&self) -> Option<Micros> {
         let known = self.confirmed_at?;
-        let mut asked = None;
+        let mut earliest = None;
         for report in &self.reports {
             let out = report.outage_sent_at?;
-            // It heard from the log after the last that was folded here: a change that
-            // it knows of may be missing.
+            // Its last contact with the log is newer than the records applied here, so a
+            // change that it knows of may be missing.
             if report.last_contact? > known.saturating_add(self.policy.outage_age) {
                 return None;
             }
-            asked = Some(asked.unwrap_or(out).min(out));
+            earliest = Some(earliest.unwrap_or(out).min(out));
         }
-        Some(asked?.saturating_add(self.policy.pong_validity))
+        Some(earliest?.saturating_add(self.policy.pong_validity))
     }
 }
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -1,4 +1,5 @@
-//! What keeps a router from taking work, for operators and the balancer.
+//! Conditions that keep a router from accepting work, for operators and the load
+//! balancer.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,32 +15,32 @@
 use crate::freshness::Trust;
 use crate::node::Node;
 
-/// Path of the health report on the callers' address.
+/// Path of the health report on the address for callers.
 pub const PATH: &str = "/health";
 /// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Looks between two sends of the gauges.
+/// Number of checks between two updates of the gauges.
 const CHECKS_PER_GAUGE: u32 = 10;
 
-/// A reason for which a router doesn't take work, or some of it.
+/// A reason for which a router refuses all or some work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthIssue {
-    /// It is stopping.
+    /// The router is stopping.
     Stopping,
-    /// Its VM is declared gone for good: all new work is refused.
+    /// Its VM is declared permanently removed: all new work is refused.
     DeclaredGone,
     /// It has read no configuration since its start.
     NoConfiguration,
-    /// Its configuration may be out of date: workspaces that ask for it are refused.
+    /// Its configuration may be stale: workspaces whose stale rule says so are refused.
     Stale,
-    /// No ledger stores some of its charges: all new work is refused.
+    /// Some of its charges are not stored by any ledger: all new work is refused.
     Stuck,
-    /// It has not joined all budget streams: it has no rights on their budgets.
+    /// It has not joined all budget streams: it has no quota of their budgets.
     NotJoined,
 }
 
 impl HealthIssue {
-    /// All of them.
+    /// All issues, the one that refuses most first.
     pub const ALL: [Self; 6] = [
         Self::Stopping,
         Self::DeclaredGone,
@@ -62,19 +63,19 @@
         }
     }
 
-    /// Whether a balancer should send its callers elsewhere.
+    /// Whether a load balancer should send callers to other routers.
     #[must_use]
     pub fn makes_unready(self) -> bool {
         self != Self::NotJoined
     }
 }
 
-/// What the issues are judged by.
+/// State of a router from which its issues are derived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthInputs {
     /// A planned stop has begun.
     pub stopping: bool,
-    /// An operator states that its VM is gone for good.
+    /// An operator has declared its VM permanently removed.
     pub retired: bool,
     /// How far the configuration can be trusted.
     pub trust: Trust,
@@ -87,7 +88,7 @@
 }
 
 impl HealthInputs {
-    /// The inputs about `node` now.
+    /// Reads the current state of `node`.
     #[must_use]
     pub fn of(node: &Node) -> Self {
         Self {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The issues, the one that refuses most first.
+    /// The current issues, the one that refuses most first.
     #[must_use]
     pub fn issues(&self) -> Vec<HealthIssue> {
         let holds = |issue: &HealthIssue| match issue {
@@ -115,7 +116,7 @@
     }
 }
 
-/// The answer to a balancer: whether callers should be sent here.
+/// Answers a load balancer's health check: whether callers should be sent here.
 #[must_use]
 pub fn respond(node: &Node) -> Response {
     let mut issues = HealthInputs::of(node).issues();
@@ -127,7 +128,7 @@
     web::json(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
-/// Tells of issues that begin and end, and sends the gauges, until `stop`.
+/// Logs issues that begin and end, and updates the gauges, until `stop`.
 pub async fn watch(node: Arc<Node>, stop: CancellationToken) {
     let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/router/src/intent.rs
+++ b/crates/router/src/intent.rs
@@ -1,8 +1,8 @@
-//! Intents of non-idempotent requests: won on the log before the dispatch.
+//! Intents of non-idempotent requests, which must win on the log before the dispatch.
 //!
-//! The first intent of a key wins for good and only its owner may dispatch, once. An
-//! owner that has decided not to dispatch abandons the intent, which frees the key
-//! for other routers.
+//! The first intent of a key wins permanently. Only its owner may dispatch the request,
+//! and only once. An owner that decides not to dispatch abandons the intent, which
+//! releases the key for other routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,26 +21,26 @@
 use crate::ledgers::Ledgers;
 use crate::members::Membership;
 
-/// First and largest pause between submissions of an abandonment.
+/// First and maximum delay between submissions of an abandonment.
 const RETRY_BASE: Duration = Duration::from_millis(200);
 const RETRY_CAP: Duration = Duration::from_secs(5);
-/// Longest wait for one of them.
+/// Maximum wait for the decision on one submission.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
-/// When to come back while the log is out.
+/// Retry delay while the log is unavailable.
 const LOG_RETRY: Duration = Duration::from_secs(2);
-/// When to come back to a key that is in use elsewhere.
+/// Retry delay for a key that is in use at another router.
 const KEY_RETRY: Duration = Duration::from_secs(5);
 
-/// What this process has done with the run of a key.
+/// How this process has finished the intent of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyOutcome {
-    /// Dispatched: no copy may run, here or elsewhere.
+    /// Dispatched: no other copy of the request may run, on any router.
     Dispatched,
-    /// Abandoned: no copy may run here, another router may.
+    /// Abandoned: no copy may run here, but another router may run one.
     Abandoned,
 }
 
-/// Wins and abandons intents.
+/// Submits and abandons the intents of this router.
 #[derive(Debug)]
 pub struct Intents {
     ledgers: Arc<Ledgers>,
@@ -48,15 +48,16 @@
     tasks: TaskTracker,
     wait: Duration,
     stop: CancellationToken,
-    /// The log lets an owner's copy win again, so the owner itself must remember.
+    /// The log lets the same owner win a key again, so the owner must remember the
+    /// outcome.
     outcomes: HashMap<(WorkspaceName, RequestKey), KeyOutcome>,
-    /// Abandonments that the log has not decided yet; closed once it has.
+    /// Abandonments that the log has not decided yet. The channel is closed when it has.
     undecided: HashMap<(WorkspaceName, RequestKey), watch::Receiver<()>>,
 }
 
 impl Intents {
-    /// Intents that wait up to `wait` for the log; abandonments run on `runtime`
-    /// until `stop` and are joined by `tasks`.
+    /// Creates intents that wait up to `wait` for the log's decision. Abandonments run
+    /// on `runtime` until `stop` and are tracked by `tasks`.
     #[must_use]
     pub fn new(
         ledgers: Arc<Ledgers>,
@@ -76,35 +77,36 @@
         })
     }
 
-    /// Waits until no abandonment of the key is on its way to the log.
+    /// Waits until the log has decided a pending abandonment of the key.
     pub async fn wait_abandoned(&self, workspace: &WorkspaceName, key: RequestKey) {
         let id = (workspace.clone(), key);
         let found = self.undecided.pin().get(&id).cloned();
         if let Some(mut decided) = found {
-            // Nothing is ever sent: it only closes.
+            // Nothing is sent on this channel; it is only closed.
             let _closed = decided.changed().await;
         }
     }
 
-    /// What this process has done with the run of the key, if anything.
+    /// Outcome of the key's intent in this process, if it has one.
     #[must_use]
     pub fn outcome(&self, key_use: &KeyUse) -> Option<KeyOutcome> {
         let id = (key_use.workspace().clone(), key_use.key());
         self.outcomes.pin().get(&id).copied()
     }
 
-    /// Forgets the keys created before `floor`, which no router accepts any more.
+    /// Removes the keys created before `floor`, which every router refuses by now.
     pub fn forget(&self, floor: WallMs) {
         self.outcomes
             .pin()
             .retain(|id, _| id.1.created_ms() >= floor);
     }
 
-    /// Wins the run of a key on the incarnation of `membership`, within `left`.
+    /// Submits the intent of a key for the incarnation of `membership`, and waits up to
+    /// `left` for it to win.
     ///
     /// # Errors
-    /// When another run owns the key, or the log doesn't decide in time; then this
-    /// router will never dispatch the request.
+    /// Fails when another run owns the key, or when the log doesn't decide in time. This
+    /// router will never dispatch the request then.
     pub async fn win(
         self: &Arc<Self>,
         membership: &Arc<Membership>,
@@ -146,7 +148,7 @@
                 Err(Refusal::not_run(RefusalKind::Unavailable, detail).with_retry(LOG_RETRY))
             }
             Err(error) => {
-                // The drop of `intent` abandons it: from here on it is never dispatched.
+                // Dropping `intent` abandons it: it is never dispatched from here on.
                 event!(warn, "intent.undecided", key = key_use.key(), why = error);
                 let detail = "the log did not decide the request's intent in time";
                 Err(Refusal::not_run(RefusalKind::LogOut, detail).with_retry(LOG_RETRY))
@@ -180,7 +182,7 @@
     }
 }
 
-/// A won intent. Dropped before [`Intent::dispatch`], it is abandoned.
+/// An intent that has won. Dropping it before [`Intent::dispatch`] abandons it.
 #[derive(Debug)]
 pub struct Intent {
     intents: Arc<Intents>,
@@ -191,13 +193,13 @@
 }
 
 impl Intent {
-    /// The one dispatch begins: from now on the intent can't be abandoned.
+    /// Marks the intent as dispatched: from here on it can't be abandoned.
     pub fn dispatch(&mut self) {
         self.is_pending = false;
         self.remember(KeyOutcome::Dispatched);
     }
 
-    /// The dispatch certainly did not reach a backend server.
+    /// Undoes a dispatch that certainly did not reach a backend server.
     pub fn recall(&mut self) {
         self.is_pending = true;
     }
@@ -206,7 +208,7 @@
         self.intents.outcomes.pin().insert(self.id.clone(), outcome);
     }
 
-    /// The log has decided against it; there is nothing to abandon.
+    /// Drops an intent that the log has refused, which needs no abandonment.
     fn close(mut self) {
         self.is_pending = false;
     }
@@ -232,7 +234,7 @@
     }
 }
 
-/// The refusal of a key whose run belongs to another.
+/// The refusal of a request whose key belongs to another run.
 #[must_use]
 pub fn lost(is_charged: bool) -> Refusal {
     let detail = if is_charged {
--- a/crates/router/src/keys.rs
+++ b/crates/router/src/keys.rs
@@ -1,9 +1,10 @@
-//! Request keys in use on this router, and the floor below which it accepts none.
+//! Request keys in use on this router, and the creation time (floor) below which keys
+//! are refused.
 //!
 //! A key is in use while its request is in flight, so that a second copy of the
-//! request is refused; it is held until the log has decided its charge, so that no
-//! mark promises it settled before. The floor only rises: once a mark has promised
-//! a floor, no older key is accepted.
+//! request is refused. It is held until the log has decided its charge, so that no mark
+//! declares it settled earlier. A mark is a log record that promises a floor; the floor
+//! only rises, and no key older than a promised floor is accepted.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -11,12 +12,12 @@
 use papaya::HashMap;
 use swiftlink_types::{RequestKey, WallMs, WorkspaceName};
 
-/// How far in the future a caller's clock may be.
+/// Maximum time by which a caller's clock may be ahead.
 const MAX_AHEAD_MS: WallMs = 60_000;
-/// How far the marked floor stays behind the oldest acceptable key.
+/// Distance of the promised floor from the oldest acceptable key.
 const FLOOR_MARGIN_MS: WallMs = 60_000;
 
-/// Why a key can't be taken.
+/// Why a key is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyRefusal {
     /// Its creation time is too far ahead of this router's clock.
@@ -33,31 +34,32 @@
 #[derive(Debug)]
 pub struct Keys {
     used: HashMap<Id, ()>,
-    /// Creation times of held keys, by the number of the hold.
+    /// Creation times of held keys by hold number.
     held: HashMap<u64, WallMs>,
-    holds: AtomicU64,
-    /// Requests in flight that share their key with another.
+    next_hold: AtomicU64,
+    /// Number of requests in flight that may share their key with another request.
     shared: AtomicUsize,
     floor: AtomicU64,
     window: WallMs,
 }
 
 impl Keys {
-    /// No keys in use; keys older than `window` ms are refused, and so is every
-    /// key created before `floor`.
+    /// Creates an empty set of keys. Keys older than `window` ms are refused, and so are
+    /// keys created before `floor`.
     #[must_use]
     pub fn new(window: WallMs, floor: WallMs) -> Arc<Self> {
         Arc::new(Self {
             used: HashMap::new(),
             held: HashMap::new(),
-            holds: AtomicU64::new(0),
+            next_hold: AtomicU64::new(0),
             shared: AtomicUsize::new(0),
             floor: AtomicU64::new(floor),
             window,
         })
     }
 
-    /// Takes `key` for `workspace` at wall time `now`; `evicted` is the log's floor.
+    /// Puts `key` of `workspace` in use at wall time `now`. `evicted` is the creation
+    /// time before which the log has forgotten keys.
     ///
     /// # Errors
     /// See [`KeyRefusal`].
@@ -83,8 +85,8 @@
         Ok(key_use)
     }
 
-    /// Takes `key` beside another request of the same key: a resumption reads a run
-    /// that may still be in flight here.
+    /// Puts `key` in use, also while another request uses it: a resumption reads the
+    /// answer of a run that may still be in flight here.
     ///
     /// # Errors
     /// See [`KeyRefusal`]; never [`KeyRefusal::InUse`].
@@ -118,7 +120,8 @@
         Ok(())
     }
 
-    /// Called once the key is in use: a floor that rises from now on sees it.
+    /// Must be called after the key is in use, since only then does a concurrent
+    /// [`Keys::raise_floor`] see it.
     fn check_floor(&self, key: RequestKey) -> Result<(), KeyRefusal> {
         if key.created_ms() < self.floor.load(Ordering::SeqCst) {
             return Err(KeyRefusal::TooOld);
@@ -127,7 +130,7 @@
     }
 
     fn hold(self: &Arc<Self>, key: RequestKey) -> KeyHold {
-        let number = self.holds.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_hold.fetch_add(1, Ordering::Relaxed);
         self.held.pin().insert(number, key.created_ms());
         KeyHold {
             keys: Arc::clone(self),
@@ -135,8 +138,9 @@
         }
     }
 
-    /// Raises the floor at wall time `now` and returns what a mark may promise:
-    /// every key created before it is settled, and none of them is accepted any more.
+    /// Raises the floor at wall time `now` and returns the floor that a mark may promise:
+    /// every key created before it is settled, and every such key is refused from here
+    /// on.
     pub fn raise_floor(&self, now: WallMs) -> WallMs {
         let target = now.saturating_sub(self.window + FLOOR_MARGIN_MS);
         let before = self.floor.fetch_max(target, Ordering::SeqCst);
@@ -163,14 +167,14 @@
     }
 }
 
-/// A key in use; it is free again when this is dropped.
+/// Keeps a key in use until it is dropped.
 #[derive(Debug)]
 pub struct KeyUse {
     keys: Arc<Keys>,
     id: Id,
-    /// Set when another request may use the same key.
+    /// Set if another request may use the same key.
     shared: Option<KeyHold>,
-    /// Free again already; another request may use the key since.
+    /// Whether the key was released early; another request may use it since.
     is_free: AtomicBool,
 }
 
@@ -181,14 +185,14 @@
         &self.id.0
     }
 
-    /// The key itself.
+    /// The key.
     #[must_use]
     pub fn key(&self) -> RequestKey {
         self.id.1
     }
 
-    /// Frees the key before the end of the answer goes out, so that a caller who
-    /// repeats the request at once doesn't meet its own first call.
+    /// Releases the key before the end of the answer is sent, so that a caller that
+    /// repeats the request at once doesn't conflict with its own first request.
     pub fn free(&self) {
         if self.shared.is_some() || self.is_free.swap(true, Ordering::SeqCst) {
             return;
@@ -196,14 +200,14 @@
         self.keys.used.pin().remove(&self.id);
     }
 
-    /// Holds the key beyond its use, until its charge is decided.
+    /// Holds the key after its use, until its charge is decided.
     #[must_use]
     pub fn hold(&self) -> KeyHold {
         self.keys.hold(self.id.1)
     }
 }
 
-/// Keeps a key's creation time from being promised as settled.
+/// Keeps the floor at or below a key's creation time until it is dropped.
 #[derive(Debug)]
 pub struct KeyHold {
     keys: Arc<Keys>,
--- a/crates/router/src/ledgers.rs
+++ b/crates/router/src/ledgers.rs
@@ -1,7 +1,8 @@
-//! Links to the fleet's ledgers: records submitted, charges stored, pages followed.
+//! Connections to the fleet's ledgers, which submit records, store charges and serve
+//! pages of streams.
 //!
-//! Every record is idempotent, so a record whose fate did not come back is simply
-//! submitted again, through any ledger.
+//! Every record is idempotent, so a record without a reply is submitted again through
+//! any ledger.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,20 +17,20 @@
 
 use crate::settings::Settings;
 
-/// Pause before all ledgers are asked again when none took a record.
+/// Pause before another round over all ledgers when none accepted a record.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// Time for which a ledger that failed is asked only after the others.
+/// Time for which a ledger that failed is tried only after the others.
 const DEPRIORITIZE_TIME: Duration = Duration::from_secs(1);
 
-/// One ledger as this router sees it.
+/// One ledger and this router's connection to it.
 #[derive(Debug)]
 pub struct Ledger {
-    /// Link to it.
+    /// Connection to the ledger.
     pub client: Arc<Client>,
     /// Failure domain that it runs in.
     pub domain: DomainName,
     start: Instant,
-    /// Microseconds from `start` until which it is asked after the others.
+    /// Time until which it is tried after the others (µs since `start`).
     deprioritized_until: AtomicU64,
 }
 
@@ -43,7 +44,7 @@
         })
     }
 
-    /// Asks it only after the others for a while.
+    /// Makes [`by_preference`] list the ledger after the others for a while.
     pub fn deprioritize(&self) {
         let until = self.start.elapsed() + DEPRIORITIZE_TIME;
         self.deprioritized_until
@@ -56,7 +57,7 @@
     }
 }
 
-/// The connected ledgers of `list` in order, those that failed lately last.
+/// The connected ledgers of `list` in order, those that failed recently last.
 #[must_use]
 pub fn by_preference(list: &[Arc<Ledger>]) -> Vec<&Arc<Ledger>> {
     let mut sorted: Vec<_> = list.iter().filter(|ledger| ledger.client.is_up()).collect();
@@ -64,7 +65,7 @@
     sorted
 }
 
-/// No ledger could have the record decided in time; it may still be.
+/// No ledger returned a decision on the record in time. The record may still be decided.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("no ledger decided the record: {0}")]
 pub struct UndecidedError(pub String);
@@ -72,15 +73,15 @@
 /// All ledgers, in this router's order of preference.
 #[derive(Debug)]
 pub struct Ledgers {
-    /// Own failure domain first.
+    /// Ledgers of the own failure domain first.
     near: Vec<Arc<Ledger>>,
-    /// Other failure domains first.
+    /// Ledgers of other failure domains first.
     far: Vec<Arc<Ledger>>,
     attempt_timeout: Duration,
 }
 
 impl Ledgers {
-    /// Starts the links.
+    /// Starts the connections.
     #[must_use]
     pub fn spawn(settings: &Settings) -> Self {
         let common = &settings.common;
@@ -97,8 +98,8 @@
                 others.push(ledger);
             }
         }
-        // Routers of one domain start at different ledgers of the others, so that
-        // the loss of a ledger doesn't move all of them to the same one.
+        // Routers of one domain start with different ledgers of the other domains, so
+        // that the loss of a ledger doesn't move all of them to the same one.
         if !others.is_empty() {
             let start = start_index(&common.vm, others.len());
             others.rotate_left(start);
@@ -124,11 +125,12 @@
         &self.far
     }
 
-    /// Submits `kind` on the stream of `shard` through one ledger after another,
-    /// until the fold has decided it or `wait` is over.
+    /// Submits `kind` to the stream of `shard` through one ledger after another, until
+    /// the fold of the log has decided it or `wait` is over.
     ///
     /// # Errors
-    /// When no fate came back in time. The record may be appended, now or later.
+    /// Fails when no decision was received in time. The record may have been appended or
+    /// may be appended later.
     pub async fn submit(
         &self,
         shard: u32,
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Closes all links.
+    /// Closes all connections.
     pub async fn stop(&self) {
         for ledger in &self.near {
             ledger.client.stop().await;
@@ -198,7 +200,7 @@
     first.ok_or_else(|| "a submit without a fate".to_owned())
 }
 
-/// One line about a failed call, for logs and refusals.
+/// Describes a failed call in one line, for logs and refusals.
 #[must_use]
 pub fn describe(error: &LinkError) -> String {
     match error {
@@ -212,7 +214,7 @@
     }
 }
 
-/// A start index that differs between VMs.
+/// Derives a start index from the VM's name, so that routers start at different ledgers.
 fn start_index(vm: &str, count: usize) -> usize {
     let sum: usize = vm.bytes().map(usize::from).sum();
     sum % count
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,10 +1,15 @@
 //! The router daemon: admission, routing, streaming and charging of requests.
 //!
-//! A request goes through [`admit`] (sender, class, pool, key), [`serve`] (rights,
-//! see [`account`] and [`claim`]; [`intent`] when it must not run twice), the
-//! [`queue`] and [`dispatch`] to a backend server, and [`model`] or [`service`],
-//! which pass the answer on and hand its charge to [`charge`] before its end is
-//! released. [`relay`] takes it to a peer router when there are no rights here.
+//! A request passes through these modules in order:
+//!
+//! 1. [`admit`] checks its sender, class, pool and key.
+//! 2. [`serve`] reserves quota from an [`account`], which [`claim`] refills. A
+//!    request that must not run twice also needs an [`intent`].
+//! 3. [`queue`] and [`dispatch`] send it to a backend server.
+//! 4. [`model`] or [`service`] forwards the answer, and passes its charge to
+//!    [`charge`] before the end of the answer is sent.
+//!
+//! [`relay`] forwards a request to a peer router when this one has no quota for it.
 
 pub mod account;
 pub mod admit;
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -1,10 +1,10 @@
-//! This router's membership of each budget stream: its incarnations.
+//! This router's membership in each budget stream: its incarnations.
 //!
-//! Before its join on a stream is decided, a router has no rights on the stream's
-//! budgets. An incarnation that the log has retired is left, with its rights, for
-//! a new one. Ledgers take the new one's join for proof that the old one is gone, and
-//! free its rights; so the router joins anew only once nothing is left that may still
-//! be charged to the old one.
+//! A router has no quota of a stream's budgets before the log has decided its join. When
+//! the log retires an incarnation, the router gives it up together with its quota and
+//! joins as a new one. Ledgers treat the new join as proof that the old incarnation is
+//! gone and release its quota. The router therefore joins again only when nothing can be
+//! charged to the old incarnation any more.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -27,9 +27,9 @@
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
 
-/// Longest wait for the fate of one join or mark.
+/// Maximum wait for the decision on one join or mark.
 const DECIDE_TIMEOUT: Duration = Duration::from_secs(2);
-/// First and largest pause between tries.
+/// First and maximum delay between attempts.
 const RETRY_BASE: Duration = Duration::from_millis(100);
 const RETRY_CAP: Duration = Duration::from_secs(2);
 
@@ -38,22 +38,22 @@
 pub struct Membership {
     /// Number of the stream.
     pub shard: u32,
-    /// Its name on the stream.
+    /// Identity on the stream.
     pub incarnation: Incarnation,
-    /// Keys created before this are forgotten by the log.
+    /// Creation time before which the log has forgotten keys.
     pub evicted_ms: WallMs,
     serial: AtomicU64,
     retired: AtomicBool,
-    /// Wakes the keeper at the retirement.
+    /// Wakes the keeper when the incarnation is retired.
     retirement: Notify,
     pending_work: AtomicUsize,
-    /// Wakes the keeper when the last stay on a retired incarnation ends.
+    /// Wakes the keeper when the last work on a retired incarnation ends.
     drained: Notify,
     accounts: HashMap<BudgetName, Arc<Account>>,
 }
 
 impl Membership {
-    /// An incarnation that has just joined.
+    /// Creates the membership of an incarnation that has just joined.
     #[must_use]
     pub fn new(shard: u32, incarnation: Incarnation, evicted_ms: WallMs) -> Arc<Self> {
         Arc::new(Self {
@@ -69,13 +69,13 @@
         })
     }
 
-    /// The account of `budget`, if it was opened.
+    /// The account of `budget`, if it is open.
     #[must_use]
     pub fn find(&self, budget: &BudgetName) -> Option<Arc<Account>> {
         self.accounts.pin().get(budget).map(Arc::clone)
     }
 
-    /// The account of `budget`; its claimer is started at the first use.
+    /// The account of `budget`. The first call opens it and starts its claimer.
     #[must_use]
     pub fn open(self: &Arc<Self>, budget: &BudgetName, claimers: &Claimers) -> Arc<Account> {
         if let Some(account) = self.find(budget) {
@@ -92,14 +92,14 @@
         }
     }
 
-    /// All accounts opened so far.
+    /// All open accounts.
     #[must_use]
     pub fn accounts(&self) -> Vec<Arc<Account>> {
         let accounts = self.accounts.pin();
         accounts.values().map(Arc::clone).collect()
     }
 
-    /// The next charge's number; the first is 1.
+    /// Serial number of the next charge, counted from 1.
     #[must_use]
     pub fn next_serial(&self) -> u64 {
         self.serial.fetch_add(1, Ordering::Relaxed) + 1
@@ -108,13 +108,13 @@
     /// Begins work that may be charged to this incarnation; `None` once it is retired.
     #[must_use]
     pub fn begin_work(self: &Arc<Self>) -> Option<WorkGuard> {
-        // Counted first: whoever sees the incarnation retired and empty knows that no
-        // later work begins on it.
+        // Counted before the check: once an incarnation was seen retired and without
+        // work, no work can begin on it.
         let guard = self.continue_work();
         (!self.is_retired()).then_some(guard)
     }
 
-    /// Goes on with work that has begun on this incarnation.
+    /// Adds a guard to work that has already begun on this incarnation.
     #[must_use]
     pub fn continue_work(self: &Arc<Self>) -> WorkGuard {
         self.pending_work.fetch_add(1, Ordering::SeqCst);
@@ -123,27 +123,27 @@
         }
     }
 
-    /// Requests and charges that are under way on this incarnation.
+    /// Number of requests and charges in progress on this incarnation.
     #[must_use]
     pub fn pending_work(&self) -> usize {
         self.pending_work.load(Ordering::SeqCst)
     }
 
-    /// Whether the router may join anew: the incarnation is retired, and nothing is
-    /// left that may be charged to it.
+    /// Whether the router may join again: the incarnation is retired and nothing can be
+    /// charged to it any more.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.is_retired() && self.pending_work() == 0
     }
 
-    /// Waits until a retired incarnation is over.
+    /// Waits until the incarnation is retired and drained.
     pub async fn drained(&self) {
         while !self.is_drained() {
             self.drained.notified().await;
         }
     }
 
-    /// Notes that the log has retired this incarnation.
+    /// Marks this incarnation as retired by the log.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::SeqCst);
         self.retirement.notify_one();
@@ -155,7 +155,8 @@
         self.retired.load(Ordering::SeqCst)
     }
 
-    /// Looks at a rejection: an incarnation that is unknown or retired is left.
+    /// Handles the rejection of a record: an incarnation that the log doesn't know or has
+    /// retired is marked as retired.
     pub fn on_rejection(&self, reason: RejectReason) {
         if matches!(
             reason,
@@ -166,9 +167,9 @@
     }
 }
 
-/// Work under way on an incarnation, from before its rights are reserved until its
-/// charge is decided or it is certain that there will be none. Rights that stay
-/// reserved since the end of a run isn't known are no work: they are never charged.
+/// Work in progress on an incarnation. It lasts from before its quota is reserved until
+/// its charge is decided or it is certain that there will be none. Quota that stays
+/// reserved because the end of a run is unknown doesn't count: it is never charged.
 #[derive(Debug)]
 pub struct WorkGuard {
     membership: Arc<Membership>,
@@ -191,21 +192,22 @@
     }
 }
 
-/// The memberships on all budget streams.
+/// The memberships in all budget streams.
 #[derive(Debug)]
 pub struct Memberships {
     by_shard: Box<[ArcSwapOption<Membership>]>,
 }
 
 impl Memberships {
-    /// No membership yet on any of `shards` streams.
+    /// Creates an empty set for `shards` streams.
     #[must_use]
     pub fn new(shards: u32) -> Arc<Self> {
         let by_shard = (0..shards).map(|_| ArcSwapOption::empty()).collect();
         Arc::new(Self { by_shard })
     }
 
-    /// The membership that `budget` needs; `None` before its join is decided.
+    /// The membership in the stream of `budget`; `None` before the join is decided and
+    /// after the incarnation is retired.
     #[must_use]
     pub fn find(&self, budget: &BudgetName) -> Option<Arc<Membership>> {
         let shard = shard_of(budget.as_str(), self.by_shard.len() as u32);
@@ -213,14 +215,14 @@
         (!membership.is_retired()).then_some(membership)
     }
 
-    /// The memberships in force.
+    /// The current memberships.
     #[must_use]
     pub fn all(&self) -> Vec<Arc<Membership>> {
         let loaded = self.by_shard.iter().map(ArcSwapOption::load_full);
         loaded.flatten().collect()
     }
 
-    /// Number of streams joined now.
+    /// Number of streams that are joined now.
     #[must_use]
     pub fn joined(&self) -> usize {
         let by_shard = self.by_shard.iter();
@@ -234,29 +236,29 @@
     }
 }
 
-/// What a membership needs to be kept.
+/// Joins budget streams and keeps their memberships.
 #[derive(Debug, Clone)]
 pub struct Keeper {
     /// VM of this router.
     pub vm: VmName,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Callers' address, bound by this process.
+    /// Address for callers, bound by this process.
     pub address: SocketAddr,
     /// Time between marks.
     pub mark: Duration,
-    /// Where records are submitted.
+    /// Ledgers to which records are submitted.
     pub ledgers: Arc<Ledgers>,
     /// Keys in use.
     pub keys: Arc<Keys>,
-    /// Where the membership is published.
+    /// Receives the current memberships.
     pub members: Arc<Memberships>,
-    /// Ends the upkeep.
+    /// Stops the keeper.
     pub stop: CancellationToken,
 }
 
 impl Keeper {
-    /// Joins the stream of `shard`, marks settled keys, and joins anew when retired.
+    /// Joins the stream of `shard`, marks settled keys, and joins again when retired.
     pub async fn keep(self, shard: u32) {
         let mut epoch = wall_micros();
         while !self.stop.is_cancelled() {
@@ -286,7 +288,7 @@
             for account in membership.accounts() {
                 account.wake.notify_one();
             }
-            // A join now would free the rights on which the work under way draws.
+            // A join now would release the quota that work in progress still uses.
             tokio::select! {
                 () = self.stop.cancelled() => return,
                 () = membership.drained() => {}
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Joins at `epoch` or above; `None` when stopped before.
+    /// Joins with an epoch of at least `epoch`. Returns `None` when stopped before.
     async fn join(&self, shard: u32, mut epoch: u64) -> Option<Arc<Membership>> {
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
         let mut is_logged = false;
@@ -363,7 +365,7 @@
                 .ledgers
                 .submit(membership.shard, kind, DECIDE_TIMEOUT)
                 .await;
-            // A mark that was not decided is made up for by the next one.
+            // The next mark replaces one that was not decided.
             if let Ok(fate::Kind::Rejected(rejected)) = decided {
                 membership.on_rejection(rejected.reason());
             }
@@ -371,7 +373,7 @@
     }
 }
 
-/// The wall clock in microseconds, for a new epoch.
+/// Wall clock time in microseconds, used as a new epoch.
 fn wall_micros() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/router/tests/account.rs
+++ b/crates/router/tests/account.rs
@@ -1,4 +1,5 @@
-//! What a request does that needs rights, by what the last claim has answer.
+//! How a request that needs quota waits, is relayed or is refused, by the outcome of the
+//! last claim.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +21,7 @@
     }
 }
 
-/// Answers the account's next claim as `answer` says.
+/// Applies `answer` when the account's claimer is woken next.
 fn claimer(account: &Arc<Account>, answer: impl FnOnce(&Account) + Send + 'static) {
     let account = Arc::clone(account);
     tokio::spawn(async move {
@@ -30,10 +31,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rights_at_hand_are_taken_without_a_claim() {
+async fn available_quota_is_reserved_without_a_claim() {
     let account = account();
     account.grant.credit(100);
-    let held = account.reserve(60, policy(), true).await.expect("at hand");
+    let held = account
+        .reserve(60, policy(), true)
+        .await
+        .expect("available");
     assert_eq!(held.amount(), 60);
     assert_eq!(account.grant.available(), 40);
     drop(held);
@@ -54,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_empty_budget_is_refused_as_empty() {
+async fn an_empty_budget_is_refused() {
     let account = account();
     claimer(&account, |account| {
         account.update_status(|status| status.updated_at = Some(Instant::now()));
@@ -69,7 +73,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rights_held_elsewhere_send_the_request_there() {
+async fn quota_of_another_router_makes_the_request_relayed() {
     let address = "127.0.0.1:7101".parse().expect("an address");
     let account = account();
     claimer(&account, move |account| {
@@ -82,16 +86,16 @@
     let shortage = account
         .reserve(60, policy(), true)
         .await
-        .expect_err("elsewhere");
+        .expect_err("held elsewhere");
     assert_eq!(shortage.holders, [address]);
-    // Relayed once already: it ends here, with the time to come back.
+    // A request that was relayed already is refused, with a retry delay.
     claimer(&account, |account| {
         account.update_status(|status| status.updated_at = Some(Instant::now()));
     });
     let shortage = account
         .reserve(60, policy(), false)
         .await
-        .expect_err("elsewhere");
+        .expect_err("held elsewhere");
     assert_eq!(shortage.refusal.kind, RefusalKind::BudgetBusy);
     assert!(shortage.refusal.retry_after.is_some());
     assert!(shortage.holders.is_empty());
@@ -107,20 +111,26 @@
         });
     });
     let start = Instant::now();
-    let shortage = account.reserve(60, policy(), true).await.expect_err("out");
+    let shortage = account
+        .reserve(60, policy(), true)
+        .await
+        .expect_err("the claim failed");
     assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
     assert!(start.elapsed() < policy().claim_wait, "paused clock");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_log_is_not_waited_for() {
+async fn an_unavailable_log_is_not_waited_for() {
     let account = account();
     let policy = WaitPolicy {
         has_log: false,
         ..policy()
     };
     let start = Instant::now();
-    let shortage = account.reserve(60, policy, true).await.expect_err("silent");
+    let shortage = account
+        .reserve(60, policy, true)
+        .await
+        .expect_err("the log is unavailable");
     assert_eq!(shortage.refusal.kind, RefusalKind::LogOut);
     assert_eq!(start.elapsed(), Duration::ZERO, "paused clock");
 }
@@ -139,10 +149,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rights_of_requests_in_flight_are_waited_for() {
+async fn quota_reserved_by_requests_in_flight_is_waited_for() {
     let account = account();
     account.grant.credit(100);
-    let mut running = account.take(100).expect("at hand");
+    let mut running = account.take(100).expect("available");
     running.dispatch();
     claimer(&account, |account| {
         account.update_status(|status| status.updated_at = Some(Instant::now()));
@@ -153,7 +163,7 @@
         assert_eq!(running.settle(30), 30);
         ending.on_released();
     });
-    let held = account.reserve(60, policy(), true).await.expect("freed");
+    let held = account.reserve(60, policy(), true).await.expect("released");
     assert_eq!(held.amount(), 60);
     assert_eq!(account.grant.available(), 10);
 }
@@ -162,7 +172,7 @@
 async fn the_wait_for_requests_in_flight_is_bounded() {
     let account = account();
     account.grant.credit(100);
-    let mut running = account.take(100).expect("at hand");
+    let mut running = account.take(100).expect("available");
     running.dispatch();
     claimer(&account, |account| {
         account.update_status(|status| status.updated_at = Some(Instant::now()));
@@ -177,10 +187,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_without_rights_is_one_miss() {
+async fn a_request_without_quota_counts_as_one_miss() {
     let address = "127.0.0.1:7101".parse().expect("an address");
     let account = account();
-    // Relayed: another router holds rights.
+    // Relayed: another router holds quota.
     claimer(&account, move |account| {
         account.update_status(|status| {
             status.updated_at = Some(Instant::now());
@@ -189,15 +199,15 @@
         });
     });
     let relayed = account.reserve(60, policy(), true).await;
-    assert_eq!(relayed.expect_err("elsewhere").holders, [address]);
+    assert_eq!(relayed.expect_err("held elsewhere").holders, [address]);
     let demand = account.grant.demand();
     assert_eq!((demand.missed, demand.requests), (60, 1));
-    // Refused: it was relayed here already.
+    // Refused: the request was relayed here already.
     let refused = account.reserve(40, policy(), false).await;
     assert!(refused.is_err());
     let demand = account.grant.demand();
     assert_eq!((demand.missed, demand.requests), (100, 2));
-    // One that waits and then reserves is no miss.
+    // A request that waits and then reserves isn't a miss.
     account.wake.notified().await;
     tokio::time::sleep(policy().pause * 2).await;
     claimer(&account, |account| {
@@ -222,7 +232,7 @@
     let refused = account.reserve(60, silent, true).await;
     assert!(refused.is_err());
     waits.await;
-    // The claimer may have looked at the demand before the miss was noted.
+    // The claimer may have read the demand before the miss was recorded.
     let again = tokio::time::timeout(Duration::from_secs(1), account.wake.notified()).await;
     assert!(again.is_ok(), "a second wake, after the miss");
     assert_eq!(account.grant.demand().missed, 60);
--- a/crates/router/tests/answer.rs
+++ b/crates/router/tests/answer.rs
@@ -1,4 +1,4 @@
-//! The form of answers and the headers that are passed on.
+//! Encoding of answers, and forwarding of headers.
 
 use http::{HeaderMap, HeaderValue};
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_receipt_joins_the_last_chunk_and_changes_nothing_else() {
+fn the_receipt_is_added_to_the_last_chunk_and_changes_nothing_else() {
     let key = RequestKey::generate(1_700_000_000_000);
     let receipt = Receipt { key, charged: 12 };
     let data = r#"{"choices":[],"usage":{"total_tokens":12},"extra":[1,2]}"#;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_whole_chat_answer_has_its_tool_calls() {
+fn a_complete_chat_answer_has_its_tool_calls() {
     let events = [
         json!({ "choices": [{ "delta": { "tool_calls": [
             { "index": 0, "id": "a", "type": "function",
@@ -56,7 +56,7 @@
         model: "m".to_owned(),
         created: 1_700_000_000_000,
         chat: true,
-        finished: parts.finish().expect("the usage was told"),
+        finished: parts.finish().expect("the usage was reported"),
     };
     let key = RequestKey::generate(1_700_000_000_000);
     let body: Value =
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_larger_of_total_and_sum_is_what_ran() {
+fn the_larger_of_total_and_sum_counts_as_run() {
     let usage = Usage {
         prompt_tokens: 5,
         completion_tokens: 7,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_and_credentials_are_not_passed_on() {
+fn hop_by_hop_headers_and_credentials_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("authorization", "Bearer secret"),
--- a/crates/router/tests/claim.rs
+++ b/crates/router/tests/claim.rs
@@ -1,4 +1,4 @@
-//! The claimer against a ledger that answers as each test says.
+//! The claimer against a fake ledger whose answers each test configures.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -28,21 +28,21 @@
 use tokio_util::task::TaskTracker;
 
 const SECRET: &str = "0123456789abcdef";
-/// Longer than anything here takes, even on a busy machine.
+/// Timeout that no step of these tests reaches, even on a busy machine.
 const LONG: Duration = Duration::from_secs(60);
 
-/// A ledger of one budget.
+/// A fake ledger of one budget.
 #[derive(Debug, Default)]
-struct Fake {
-    /// Claims that are still to be failed, as in an outage of the log.
+struct FakeLedger {
+    /// Number of further claims to fail, as in an outage of the log.
     failures: AtomicU64,
-    /// Claims that are still to be refused, as by a budget without free tokens.
+    /// Number of further claims to refuse, as for a budget without free tokens.
     refusals: AtomicU64,
-    /// Free tokens.
+    /// Free tokens of the budget.
     free: AtomicU64,
 }
 
-impl Fake {
+impl FakeLedger {
     fn decide(&self, kind: record::Kind) -> Result<fate::Kind, Failure> {
         let record::Kind::Claim(claim) = kind else {
             let active = true;
@@ -51,13 +51,13 @@
                 ..JoinFate::default()
             }));
         };
-        if is_left(&self.failures) {
+        if take_one(&self.failures) {
             return Err(Failure {
                 kind: FailureKind::LogOut.into(),
                 detail: String::new(),
             });
         }
-        if is_left(&self.refusals) {
+        if take_one(&self.refusals) {
             return Ok(fate::Kind::Claim(ClaimFate {
                 seq: claim.seq,
                 ..ClaimFate::default()
@@ -93,9 +93,9 @@
                     }),
                 }
             }
-            request::Kind::GetBudgets(ask) => reply::Kind::Budgets(Budgets {
+            request::Kind::GetBudgets(query) => reply::Kind::Budgets(Budgets {
                 items: vec![BudgetView {
-                    name: ask.names[0].clone(),
+                    name: query.names[0].clone(),
                     topped_up: 1_000_000,
                     free: self.free.load(Ordering::SeqCst),
                     ..BudgetView::default()
@@ -106,38 +106,38 @@
     }
 }
 
-/// Counts one down, if any is left.
-fn is_left(count: &AtomicU64) -> bool {
+/// Decrements `count` unless it is 0. Returns whether it did.
+fn take_one(count: &AtomicU64) -> bool {
     let down = |left: u64| left.checked_sub(1);
     count
         .fetch_update(Ordering::SeqCst, Ordering::SeqCst, down)
         .is_ok()
 }
 
-/// The fake as the link's handler.
-struct Shared(Fake);
+/// Serves the fake ledger's connections.
+struct FakeHandler(FakeLedger);
 
 #[async_trait]
-impl Handler for Shared {
+impl Handler for FakeHandler {
     async fn handle(&self, _peer: &str, request: request::Kind, replies: Replies) {
         let _gone = replies.send(self.0.answer(request), true).await;
     }
 }
 
-/// A router's claims on one budget of the fake ledger.
-struct Bench {
+/// The parts of a router that claim one budget at the fake ledger.
+struct TestRouter {
     server: Server,
     ledgers: Arc<Ledgers>,
     tasks: TaskTracker,
     stop: CancellationToken,
-    _seat: Arc<Membership>,
+    _membership: Arc<Membership>,
     account: Arc<Account>,
 }
 
-impl Bench {
-    async fn open(fake: Fake) -> Self {
+impl TestRouter {
+    async fn open(fake: FakeLedger) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let handler = Arc::new(Shared(fake));
+        let handler = Arc::new(FakeHandler(fake));
         let server =
             Server::bind(listener, "ledger", Secret::new(SECRET), handler).expect("a server");
         let settings: Settings = serde_json::from_value(json!({
@@ -178,20 +178,20 @@
             tasks: tasks.clone(),
         };
         let budget = BudgetName::from("registry");
-        let seat = until(|| members.find(&budget)).await;
-        let account = seat.open(&budget, &claimers);
+        let membership = until(|| members.find(&budget)).await;
+        let account = membership.open(&budget, &claimers);
         Self {
             server,
             ledgers,
             tasks,
             stop,
-            _seat: seat,
+            _membership: membership,
             account,
         }
     }
 
-    /// Asks for `cost` tokens and hands them back unspent.
-    async fn ask(&self, cost: u64) -> Result<(), Shortage> {
+    /// Reserves `cost` tokens and releases them unspent.
+    async fn reserve(&self, cost: u64) -> Result<(), Shortage> {
         let policy = WaitPolicy {
             deadline: Instant::now() + LONG,
             claim_wait: LONG,
@@ -210,11 +210,11 @@
     }
 }
 
-/// Looks until something is there.
-async fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
+/// Calls `poll` until it returns a value.
+async fn until<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let found = async {
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = poll() {
                 return found;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -224,44 +224,47 @@
 }
 
 #[tokio::test]
-async fn a_claim_through_an_outage_does_not_tell_the_time_of_a_claim() {
-    let bench = Bench::open(Fake {
-        // Some retries, whatever number of tries one submission makes.
+async fn a_claim_through_an_outage_is_not_timed() {
+    let router = TestRouter::open(FakeLedger {
+        // Enough failures for several submissions, however many attempts each makes.
         failures: AtomicU64::new(8),
         free: AtomicU64::new(1_000_000),
-        ..Fake::default()
+        ..FakeLedger::default()
     })
     .await;
-    let refused = bench.ask(100).await.expect_err("the log is out");
+    let refused = router
+        .reserve(100)
+        .await
+        .expect_err("the log is unavailable");
     assert_eq!(refused.refusal.kind, RefusalKind::LogOut);
-    until(|| (bench.account.grant.available() > 0).then_some(())).await;
-    assert_eq!(bench.account.claim_time(), FIRST_CLAIM_TIME);
-    bench.stop().await;
+    until(|| (router.account.grant.available() > 0).then_some(())).await;
+    assert_eq!(router.account.claim_time(), FIRST_CLAIM_TIME);
+    router.stop().await;
 }
 
 #[tokio::test]
-async fn a_claim_answered_at_once_tells_the_time_of_a_claim() {
-    let bench = Bench::open(Fake {
+async fn a_claim_answered_at_once_is_timed() {
+    let router = TestRouter::open(FakeLedger {
         free: AtomicU64::new(1_000_000),
-        ..Fake::default()
+        ..FakeLedger::default()
     })
     .await;
-    bench.ask(100).await.expect("granted");
-    assert_ne!(bench.account.claim_time(), FIRST_CLAIM_TIME);
-    bench.stop().await;
+    router.reserve(100).await.expect("granted");
+    assert_ne!(router.account.claim_time(), FIRST_CLAIM_TIME);
+    router.stop().await;
 }
 
 #[tokio::test]
-async fn free_tokens_are_heard_of_without_a_claim() {
-    let bench = Bench::open(Fake {
+async fn free_tokens_are_noticed_without_a_claim() {
+    let router = TestRouter::open(FakeLedger {
         refusals: AtomicU64::new(1),
         free: AtomicU64::new(5_000),
-        ..Fake::default()
+        ..FakeLedger::default()
     })
     .await;
-    let refused = bench.ask(100).await.expect_err("nothing was free");
+    let refused = router.reserve(100).await.expect_err("nothing was free");
     assert_eq!(refused.refusal.kind, RefusalKind::NoBudget);
-    // No further request comes; the ledger's view tells of the free tokens.
-    until(|| (bench.account.grant.available() >= 100).then_some(())).await;
-    bench.stop().await;
+    // No further request follows: the claimer learns of the free tokens by polling.
+    until(|| (router.account.grant.available() >= 100).then_some(())).await;
+    router.stop().await;
 }
--- a/crates/router/tests/config.rs
+++ b/crates/router/tests/config.rs
@@ -10,9 +10,10 @@
 
 const STALE: Duration = Duration::from_secs(5);
 
-/// A router that was started in an outage reads what its ledger knew long before.
+/// A router that starts during an outage reads a configuration that its ledger confirmed
+/// long before the start. Its age must include that time.
 #[test]
-fn news_from_before_the_start_is_as_old_as_it_is() {
+fn the_age_includes_time_before_the_start() {
     let pools = Pools::new(DomainName::from("rennes-a"), 4, 0);
     let view = ConfigView::new(pools, Freshness::new(pings::rule(STALE), 1));
     assert_eq!(view.trust(), Trust::None);
--- a/crates/router/tests/health.rs
+++ b/crates/router/tests/health.rs
@@ -1,9 +1,9 @@
-//! What keeps a router from taking work.
+//! Conditions that keep a router from accepting work.
 
 use swiftlink_router::freshness::Trust;
 use swiftlink_router::health::{HealthInputs, HealthIssue};
 
-const WELL: HealthInputs = HealthInputs {
+const HEALTHY: HealthInputs = HealthInputs {
     stopping: false,
     retired: false,
     trust: Trust::Current,
@@ -13,48 +13,60 @@
 };
 
 #[test]
-fn a_router_that_serves_has_no_trouble() {
-    assert_eq!(WELL.issues(), []);
-    let out = HealthInputs {
+fn a_healthy_router_has_no_issues() {
+    assert_eq!(HEALTHY.issues(), []);
+    let outage = HealthInputs {
         trust: Trust::LogUnavailable,
-        ..WELL
+        ..HEALTHY
     };
-    assert_eq!(out.issues(), [], "it serves from the rights it holds");
+    assert_eq!(outage.issues(), [], "it serves from the quota it holds");
 }
 
 #[test]
-fn each_trouble_is_told_and_the_worst_first() {
+fn each_issue_is_reported_and_the_worst_first() {
     let cases = [
         (
             HealthInputs {
                 stopping: true,
-                ..WELL
+                ..HEALTHY
             },
             HealthIssue::Stopping,
         ),
         (
             HealthInputs {
                 retired: true,
-                ..WELL
+                ..HEALTHY
             },
             HealthIssue::DeclaredGone,
         ),
         (
             HealthInputs {
                 trust: Trust::None,
-                ..WELL
+                ..HEALTHY
             },
             HealthIssue::NoConfiguration,
         ),
         (
             HealthInputs {
                 trust: Trust::Stale,
-                ..WELL
+                ..HEALTHY
             },
             HealthIssue::Stale,
         ),
-        (HealthInputs { stuck: 1, ..WELL }, HealthIssue::Stuck),
-        (HealthInputs { joined: 3, ..WELL }, HealthIssue::NotJoined),
+        (
+            HealthInputs {
+                stuck: 1,
+                ..HEALTHY
+            },
+            HealthIssue::Stuck,
+        ),
+        (
+            HealthInputs {
+                joined: 3,
+                ..HEALTHY
+            },
+            HealthIssue::NotJoined,
+        ),
     ];
     for (inputs, issue) in cases {
         assert_eq!(inputs.issues(), [issue]);
@@ -78,7 +90,7 @@
 }
 
 #[test]
-fn a_balancer_sends_callers_also_to_a_router_that_has_yet_to_join() {
+fn a_router_that_has_not_joined_yet_stays_ready() {
     let kept: Vec<_> = HealthIssue::ALL
         .into_iter()
         .filter(|issue| !issue.makes_unready())
--- a/crates/router/tests/keys.rs
+++ b/crates/router/tests/keys.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_does_not_open_what_was_promised() {
+fn a_clock_that_goes_back_does_not_lower_the_promised_floor() {
     let keys = Keys::new(WINDOW, 0);
     let promised = keys.raise_floor(NOW);
     let key = RequestKey::generate(promised - 1);
@@ -84,10 +84,10 @@
 }
 
 proptest! {
-    /// Whatever was promised, no key below it is taken afterwards, and none that is
-    /// in use was below it.
+    /// After any floor was promised, no key below it is accepted, and no key in use is
+    /// below it.
     #[test]
-    fn a_promise_holds(steps in proptest::collection::vec((0_u64..3 * WINDOW, any::<bool>()), 1..40)) {
+    fn a_promised_floor_holds(steps in proptest::collection::vec((0_u64..3 * WINDOW, any::<bool>()), 1..40)) {
         let keys = Keys::new(WINDOW, 0);
         let mut promised = 0;
         let mut uses = Vec::new();
--- a/crates/router/tests/members.rs
+++ b/crates/router/tests/members.rs
@@ -1,4 +1,4 @@
-//! When a router whose incarnation was retired may join anew.
+//! When a router whose incarnation was retired may join again.
 
 use std::sync::Arc;
 
@@ -25,60 +25,60 @@
     Membership::new(0, incarnation, 0)
 }
 
-/// Whether a keeper that waits for the end of `membership` would join now.
-fn joins(membership: &Membership) -> bool {
-    let joins = membership.drained().now_or_never().is_some();
-    assert_eq!(joins, membership.is_drained());
-    joins
+/// Whether a keeper that waits until `membership` is drained would join now.
+fn may_join(membership: &Membership) -> bool {
+    let may_join = membership.drained().now_or_never().is_some();
+    assert_eq!(may_join, membership.is_drained());
+    may_join
 }
 
 #[test]
-fn a_retired_incarnation_takes_no_new_work_and_waits_for_the_old() {
+fn a_retired_incarnation_accepts_no_work_and_waits_for_work_in_progress() {
     let membership = membership();
     let first = membership.begin_work().expect("it is active");
     let second = membership.begin_work().expect("it is active");
-    assert!(!joins(&membership));
+    assert!(!may_join(&membership));
     membership.retire();
     assert!(membership.begin_work().is_none());
-    assert!(!joins(&membership));
+    assert!(!may_join(&membership));
     drop(first);
-    assert!(!joins(&membership));
-    // A request hands its work over to its charge.
+    assert!(!may_join(&membership));
+    // A request passes its work on to its charge.
     let charge = membership.continue_work();
     drop(second);
-    assert!(!joins(&membership));
+    assert!(!may_join(&membership));
     drop(charge);
-    assert!(joins(&membership));
+    assert!(may_join(&membership));
 }
 
 #[test]
-fn an_incarnation_without_work_is_over_once_it_is_retired() {
+fn an_incarnation_without_work_is_drained_once_it_is_retired() {
     let membership = membership();
-    assert!(!joins(&membership), "it is active");
+    assert!(!may_join(&membership), "it is active");
     drop(membership.begin_work().expect("it is active"));
-    assert!(!joins(&membership), "it is active");
+    assert!(!may_join(&membership), "it is active");
     membership.retire();
-    assert!(joins(&membership));
+    assert!(may_join(&membership));
 }
 
 #[test]
-fn stranded_rights_hold_nothing_up() {
+fn quota_that_stays_reserved_does_not_delay_the_join() {
     let membership = membership();
     let grant = Arc::new(Grant::new());
     grant.credit(100);
     let guard = membership.begin_work().expect("it is active");
-    let mut rights = grant.hold(40).expect("enough");
-    rights.dispatch();
+    let mut reservation = grant.hold(40).expect("enough");
+    reservation.dispatch();
     membership.retire();
-    assert!(!joins(&membership));
-    drop(rights);
+    assert!(!may_join(&membership));
+    drop(reservation);
     drop(guard);
     assert_eq!(grant.counters().reserved, 40);
-    assert!(joins(&membership));
+    assert!(may_join(&membership));
 }
 
 #[test]
-fn no_work_begins_once_a_retired_incarnation_was_seen_empty() {
+fn no_work_begins_once_a_retired_incarnation_was_seen_drained() {
     for _round in 0..2_000 {
         let membership = membership();
         let late = std::thread::scope(|scope| {
@@ -92,7 +92,7 @@
     }
 }
 
-/// A settler that has no ledger to hand its charges to.
+/// A settler without ledgers.
 fn settler() -> Arc<Settler> {
     let settings = json!({
         "vm": "vm", "domain": "d", "admin": "127.0.0.1:1", "secret": "0123456789abcdef",
@@ -123,6 +123,6 @@
     drop(key_use);
     drop(guard);
     membership.retire();
-    assert!(!joins(&membership));
+    assert!(!may_join(&membership));
     assert_eq!(membership.pending_work(), 1);
 }
