--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct Attempt {
     /// Quota reserved for the run.
-    pub rights: Option<Reservation>,
+    pub reservation: Option<Reservation>,
     /// The won intent of a non-idempotent request.
     pub intent: Option<Intent>,
     /// The router's record of the run.
@@ -47,8 +47,8 @@
 impl Attempt {
     /// Marks the request as dispatched: from here on a server may run it.
     fn dispatch(&mut self) {
-        if let Some(rights) = self.rights.as_mut() {
-            rights.dispatch();
+        if let Some(reservation) = self.reservation.as_mut() {
+            reservation.dispatch();
         }
         if let Some(intent) = self.intent.as_mut() {
             intent.dispatch();
@@ -63,8 +63,8 @@
         if self.maybe_ran {
             return;
         }
-        if let Some(rights) = self.rights.as_mut() {
-            rights.recall();
+        if let Some(reservation) = self.reservation.as_mut() {
+            reservation.recall();
         }
         if let Some(intent) = self.intent.as_mut() {
             intent.recall();
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -185,7 +185,7 @@
         .map(|holding| (holding.seat, holding.reservation))
         .unzip();
     let mut attempt = Attempt {
-        rights,
+        reservation: rights,
         past: is_run.then(|| node.past.begin(&call.key_use, digest)),
         ..Attempt::default()
     };
@@ -341,7 +341,7 @@
     /// or by one before. Returns once the charge is stored in another failure domain, or
     /// after the wait for it.
     pub async fn charge(&mut self, tokens: Tokens) -> Tokens {
-        let (Some(seat), Some(rights)) = (&self.seat, self.attempt.rights.take()) else {
+        let (Some(seat), Some(rights)) = (&self.seat, self.attempt.reservation.take()) else {
             return 0;
         };
         let cost = self.call.cost(tokens);
--- a/crates/router/src/settle_late.rs
+++ b/crates/router/src/settle_late.rs
@@ -67,7 +67,7 @@
     }
     let tokens = usage.unwrap_or(leftover.seen);
     let cost = swiftlink_types::cost(tokens, price).min(bound);
-    let (Some(seat), Some(rights)) = (seat, attempt.rights) else {
+    let (Some(seat), Some(rights)) = (seat, attempt.reservation) else {
         return;
     };
     if cost > 0 {
