--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -131,13 +131,13 @@
         policy: WaitPolicy,
         may_relay: bool,
     ) -> Result<Reservation, Shortage> {
-        let found = self.try_reserve(cost, policy, may_relay).await;
-        if found.is_err() {
+        let reserved = self.try_reserve(cost, policy, may_relay).await;
+        if reserved.is_err() {
             // The claimer includes unmet demand in the size of its claims.
             self.grant.miss(cost);
             self.wake.notify_one();
         }
-        found
+        reserved
     }
 
     /// Reserves `cost` tokens for a request that failed to get them here before and
@@ -190,8 +190,8 @@
     /// Whether requests in flight here have enough tokens reserved: those that they
     /// don't spend become available when they end.
     fn may_free(&self, cost: Tokens) -> bool {
-        let own = self.grant.counters();
-        own.reserved > 0 && own.reserved + own.available >= cost
+        let counters = self.grant.counters();
+        counters.reserved > 0 && counters.reserved + counters.available >= cost
     }
 
     /// Wakes the waiters after a reservation was released.
@@ -218,9 +218,9 @@
         let is_fresh = status
             .updated_at
             .is_some_and(|at| now - at <= policy.pause || at >= start);
-        let own = self.grant.counters();
-        let listed: &[Holder] = if may_relay { &status.holders } else { &[] };
-        let holdings: Vec<_> = listed.iter().map(holder_state).collect();
+        let counters = self.grant.counters();
+        let candidates: &[Holder] = if may_relay { &status.holders } else { &[] };
+        let holder_states: Vec<_> = candidates.iter().map(holder_state).collect();
         let case = Shortfall {
             cost,
             now: micros_since(start, now),
@@ -228,13 +228,13 @@
             is_log_up: policy.has_log && !status.is_failed,
             claim_time: self.claim_time(),
             free: is_fresh.then_some(status.free),
-            held_elsewhere: status.held_elsewhere + own.available + own.reserved,
-            holders: &holdings,
+            held_elsewhere: status.held_elsewhere + counters.available + counters.reserved,
+            holders: &holder_states,
         };
         match shortfall(&case) {
             ShortfallAction::Wait => Ok(()),
             ShortfallAction::Relay(index) => {
-                let mut holders: Vec<_> = listed.iter().map(|holder| holder.address).collect();
+                let mut holders: Vec<_> = candidates.iter().map(|holder| holder.address).collect();
                 holders.swap(0, index);
                 Err(Shortage {
                     refusal: budget_busy(self.claim_time()),
@@ -252,10 +252,10 @@
     fn timed_out(&self, status: &ClaimStatus, may_relay: bool) -> Shortage {
         let detail = "the log did not decide a claim of rights in time";
         let refusal = Refusal::not_run(RefusalKind::LogOut, detail);
-        let listed: &[Holder] = if may_relay { &status.holders } else { &[] };
+        let candidates: &[Holder] = if may_relay { &status.holders } else { &[] };
         Shortage {
             refusal: refusal.with_retry(Duration::from_secs(1)),
-            holders: listed.iter().map(|holder| holder.address).collect(),
+            holders: candidates.iter().map(|holder| holder.address).collect(),
         }
     }
 
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -239,7 +239,7 @@
                 Ok(Some(reply)) => reply,
                 Ok(None) => return on_source_end(served, "ledger ended the stream".to_owned()),
                 Err(_elapsed) => {
-                    return on_source_end(served, "ledger did not respond in time".to_owned());
+                    return on_source_end(served, "ledger timed out".to_owned());
                 }
             };
             let page = match reply {
--- a/crates/router/src/dump.rs
+++ b/crates/router/src/dump.rs
@@ -67,10 +67,7 @@
         let memberships = node.members.all();
         let memberships: Vec<_> = memberships
             .iter()
-            .map(|membership| {
-                let incarnation = membership.incarnation.to_string();
-                json!({"shard": membership.shard, "incarnation": incarnation})
-            })
+            .map(|m| json!({"shard": m.shard, "incarnation": m.incarnation.to_string()}))
             .collect();
         let ledgers: Vec<_> = node
             .ledgers
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -81,14 +81,14 @@
         if let Some(account) = self.find(budget) {
             return account;
         }
-        let fresh = Arc::new(Account::new(budget.clone()));
+        let account = Arc::new(Account::new(budget.clone()));
         let accounts = self.accounts.pin();
-        match accounts.try_insert(budget.clone(), Arc::clone(&fresh)) {
+        match accounts.try_insert(budget.clone(), Arc::clone(&account)) {
             Ok(_) => {
-                claimers.spawn(self, &fresh);
-                fresh
+                claimers.spawn(self, &account);
+                account
             }
-            Err(taken) => Arc::clone(taken.current),
+            Err(occupied) => Arc::clone(occupied.current),
         }
     }
 
