--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -237,15 +237,13 @@
         loop {
             let reply = match timeout(PAGE_TIMEOUT, replies.next()).await {
                 Ok(Some(reply)) => reply,
-                Ok(None) => return on_source_end(served, "ledger ended the stream".to_owned()),
-                Err(_elapsed) => {
-                    return on_source_end(served, "ledger timed out".to_owned());
-                }
+                Ok(None) => return finish(served, "ledger ended the stream".to_owned()),
+                Err(_elapsed) => return finish(served, "ledger did not respond".to_owned()),
             };
             let page = match reply {
                 Ok(reply::Kind::Page(page)) => page,
-                Ok(_) => return on_source_end(served, "unexpected reply to a follow".to_owned()),
-                Err(error) => return on_source_end(served, describe_stream(&error)),
+                Ok(_) => return finish(served, "unexpected reply to a follow".to_owned()),
+                Err(error) => return finish(served, describe_stream(&error)),
             };
             self.apply(&page)?;
             served = true;
@@ -273,7 +271,11 @@
     }
 }
 
-fn on_source_end(served: bool, why: String) -> Result<(), String> {
+/// Ends the following of one ledger. Logs `why` if the ledger has served pages.
+///
+/// # Errors
+/// Returns `why` if the ledger has served none.
+fn finish(served: bool, why: String) -> Result<(), String> {
     if served {
         event!(info, "config.source-left", why = why);
         return Ok(());
