--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -1,8 +1,8 @@
-//! The rights that one incarnation of this router holds on one budget.
+//! The quota that one incarnation of this router holds of one budget.
 //!
-//! A request that finds rights takes them without a lock or a message. One that
-//! finds none becomes a waiter; the account's claimer (see [`crate::claim`]) is
-//! woken and tells all waiters what became of its claim.
+//! A request that finds enough quota reserves it without a lock or a message.
+//! Otherwise it becomes a waiter and wakes the account's claimer (see
+//! [`crate::claim`]), which reports the outcome of its claim to all waiters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,76 +17,76 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout_at};
 
-/// Expected time of a claim before one has been timed.
+/// Expected duration of a claim before the first one has completed.
 pub const FIRST_CLAIM_TIME: Duration = Duration::from_millis(20);
-/// Time that a relay to another router is expected to add.
-const DETOUR: Duration = Duration::from_millis(5);
+/// Expected latency that a relay to another router adds.
+const RELAY_TIME: Duration = Duration::from_millis(5);
 
-/// Another router that held rights when the log last told.
+/// Another router that held quota when the log was last read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// Callers' address of the router.
+    /// Address at which the router accepts callers.
     pub address: SocketAddr,
-    /// Rights held, unspent as the log knew.
+    /// Quota held (tokens) that was unspent as far as the log knew.
     pub held: Tokens,
 }
 
-/// What the last claim has told.
+/// Outcome of the last claim, as published to waiting requests.
 #[derive(Debug, Clone, Default)]
-pub struct News {
-    /// Grows with every claim answered or failed.
-    pub number: u64,
-    /// When it was told; `None` before the first claim.
-    pub at: Option<Instant>,
-    /// The last try got no answer.
-    pub is_out: bool,
-    /// Free in the budget (tokens).
+pub struct ClaimStatus {
+    /// Incremented by every claim that is answered or fails.
+    pub version: u64,
+    /// Time of the last update; `None` before the first claim.
+    pub updated_at: Option<Instant>,
+    /// Whether the last submission got no answer.
+    pub is_failed: bool,
+    /// Unassigned tokens of the budget.
     pub free: Tokens,
-    /// Held by other incarnations (tokens).
-    pub elsewhere: Tokens,
-    /// The largest other holders.
+    /// Tokens held by other incarnations.
+    pub held_elsewhere: Tokens,
+    /// The routers that hold the most.
     pub holders: Arc<[Holder]>,
 }
 
-/// Why a request got no rights here.
+/// Why a request could not reserve quota on this router.
 #[derive(Debug, Clone)]
 pub struct Shortage {
-    /// The refusal, unless another router serves the request.
+    /// Refusal to return unless another router serves the request.
     pub refusal: Refusal,
-    /// Routers that may hold rights, best first.
+    /// Routers that may hold quota, the best candidate first.
     pub holders: Vec<SocketAddr>,
 }
 
-/// How a request may wait for rights.
+/// Limits on a request's wait for quota.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitPolicy {
-    /// Latest useful moment.
+    /// Time after which an answer is useless to the caller.
     pub deadline: Instant,
     /// Longest wait for a claim.
     pub claim_wait: Duration,
-    /// Time for which the answer to a claim stands.
+    /// Time for which the outcome of a claim stays valid.
     pub pause: Duration,
-    /// Whether the log was heard of lately.
+    /// Whether the log was reachable recently.
     pub has_log: bool,
 }
 
-/// Rights on one budget.
+/// Quota of one budget, and the requests that wait for it.
 #[derive(Debug)]
 pub struct Account {
     /// Name of the budget.
     pub budget: BudgetName,
-    /// The rights.
+    /// The tokens held.
     pub grant: Arc<Grant>,
     /// Wakes the claimer.
     pub wake: Notify,
-    /// Available rights under which the claimer is woken.
-    low: AtomicU64,
-    /// Expected time of a claim (µs).
+    /// Available tokens below which the claimer is woken.
+    wake_threshold: AtomicU64,
+    /// Expected duration of a claim (µs).
     claim_time: AtomicU64,
     waiters: Mutex<Waiters>,
-    /// Number of waiters, to be looked at without the lock.
+    /// Number of waiters, readable without the lock.
     count: AtomicUsize,
-    news: watch::Sender<News>,
+    status: watch::Sender<ClaimStatus>,
 }
 
 #[derive(Debug, Default)]
@@ -96,64 +96,64 @@
 }
 
 impl Account {
-    /// An account without rights.
+    /// Creates an account without quota.
     #[must_use]
     pub fn new(budget: BudgetName) -> Self {
         Self {
             budget,
             grant: Arc::new(Grant::new()),
             wake: Notify::new(),
-            low: AtomicU64::new(0),
+            wake_threshold: AtomicU64::new(0),
             claim_time: AtomicU64::new(FIRST_CLAIM_TIME.as_micros() as u64),
             waiters: Mutex::default(),
             count: AtomicUsize::new(0),
-            news: watch::Sender::new(News::default()),
+            status: watch::Sender::new(ClaimStatus::default()),
         }
     }
 
-    /// Takes `cost` tokens from the rights at hand.
+    /// Reserves `cost` tokens if they are available now.
     #[must_use]
     pub fn take(&self, cost: Tokens) -> Option<Reservation> {
         let held = self.grant.hold(cost)?;
-        if self.grant.available() < self.low.load(Ordering::Relaxed) {
+        if self.grant.available() < self.wake_threshold.load(Ordering::Relaxed) {
             self.wake.notify_one();
         }
         Some(held)
     }
 
-    /// Takes `cost` tokens, waiting for a claim where that is the way to get them.
+    /// Reserves `cost` tokens, and waits for a claim if one may supply them.
     ///
     /// # Errors
-    /// When no rights can be had here in time.
-    pub async fn obtain(
+    /// Fails when this router can't obtain the quota in time.
+    pub async fn reserve(
         &self,
         cost: Tokens,
         policy: WaitPolicy,
         may_relay: bool,
     ) -> Result<Reservation, Shortage> {
-        let found = self.try_obtain(cost, policy, may_relay).await;
-        if found.is_err() {
-            // Demand that was not met here; the claimer sizes its claims by it.
+        let reserved = self.try_reserve(cost, policy, may_relay).await;
+        if reserved.is_err() {
+            // The claimer includes unmet demand in the size of its claims.
             self.grant.miss(cost);
             self.wake.notify_one();
         }
-        found
+        reserved
     }
 
-    /// Takes `cost` tokens for a request that got none before and that no other router
-    /// has served; it is counted as unmet already.
+    /// Reserves `cost` tokens for a request that failed to get them here before and
+    /// that no other router has served. Its unmet demand is already counted.
     ///
     /// # Errors
-    /// When no rights can be had here in time.
-    pub async fn obtain_here(
+    /// Fails when this router can't obtain the quota in time.
+    pub async fn reserve_locally(
         &self,
         cost: Tokens,
         policy: WaitPolicy,
     ) -> Result<Reservation, Shortage> {
-        self.try_obtain(cost, policy, false).await
+        self.try_reserve(cost, policy, false).await
     }
 
-    async fn try_obtain(
+    async fn try_reserve(
         &self,
         cost: Tokens,
         policy: WaitPolicy,
@@ -164,77 +164,80 @@
         }
         let start = Instant::now();
         let until = policy.deadline.min(start + policy.claim_wait);
-        let mut news = self.news.subscribe();
+        let mut updates = self.status.subscribe();
         let _waiter = self.enter(cost);
         self.wake.notify_one();
-        let mut busy = None;
+        let mut shortage_here = None;
         loop {
-            let told = news.borrow_and_update().clone();
+            let status = updates.borrow_and_update().clone();
             if let Some(held) = self.take(cost) {
                 return Ok(held);
             }
-            match self.decide(cost, &told, start, until, policy, may_relay) {
+            match self.decide(cost, &status, start, until, policy, may_relay) {
                 Ok(()) => {}
                 Err(shortage) if shortage.holders.is_empty() && self.may_free(cost) => {
-                    busy = Some(shortage);
+                    shortage_here = Some(shortage);
                 }
                 Err(shortage) => return Err(shortage),
             }
-            if timeout_at(until, news.changed()).await.is_err() {
-                let told = news.borrow().clone();
-                return Err(busy.unwrap_or_else(|| self.late(&told, may_relay)));
+            if timeout_at(until, updates.changed()).await.is_err() {
+                let status = updates.borrow().clone();
+                return Err(shortage_here.unwrap_or_else(|| self.timed_out(&status, may_relay)));
             }
         }
     }
 
-    /// Whether requests in flight here hold rights enough: what they don't spend is
-    /// free again at their end.
+    /// Whether requests in flight here have enough tokens reserved: those that they
+    /// don't spend become available when they end.
     fn may_free(&self, cost: Tokens) -> bool {
-        let own = self.grant.counters();
-        own.reserved > 0 && own.reserved + own.available >= cost
+        let counters = self.grant.counters();
+        counters.reserved > 0 && counters.reserved + counters.available >= cost
     }
 
-    /// Tells those who wait that rights may have become free.
-    pub fn freed(&self) {
+    /// Wakes the waiters after a reservation was released.
+    pub fn on_released(&self) {
         if self.count.load(Ordering::Relaxed) > 0 {
-            self.tell(|_news| {});
+            self.update_status(|_status| {});
         }
     }
 
-    /// Whether to wait on; the error ends the request here.
+    /// Decides whether a request keeps waiting.
+    ///
+    /// # Errors
+    /// Fails when the request must be relayed or refused.
     fn decide(
         &self,
         cost: Tokens,
-        told: &News,
+        status: &ClaimStatus,
         start: Instant,
         until: Instant,
         policy: WaitPolicy,
         may_relay: bool,
     ) -> Result<(), Shortage> {
         let now = Instant::now();
-        let is_fresh = told
-            .at
+        let is_fresh = status
+            .updated_at
             .is_some_and(|at| now - at <= policy.pause || at >= start);
-        let own = self.grant.counters();
-        let listed: &[Holder] = if may_relay { &told.holders } else { &[] };
-        let holdings: Vec<_> = listed.iter().map(holding).collect();
+        let counters = self.grant.counters();
+        let candidates: &[Holder] = if may_relay { &status.holders } else { &[] };
+        let holder_states: Vec<_> = candidates.iter().map(holder_state).collect();
         let case = Shortfall {
             cost,
             now: micros_since(start, now),
             deadline: micros_since(start, until),
-            is_log_up: policy.has_log && !told.is_out,
+            is_log_up: policy.has_log && !status.is_failed,
             claim_time: self.claim_time(),
-            free: is_fresh.then_some(told.free),
-            held_elsewhere: told.elsewhere + own.available + own.reserved,
-            holders: &holdings,
+            free: is_fresh.then_some(status.free),
+            held_elsewhere: status.held_elsewhere + counters.available + counters.reserved,
+            holders: &holder_states,
         };
         match shortfall(&case) {
             ShortfallAction::Wait => Ok(()),
             ShortfallAction::Relay(index) => {
-                let mut holders: Vec<_> = listed.iter().map(|holder| holder.address).collect();
+                let mut holders: Vec<_> = candidates.iter().map(|holder| holder.address).collect();
                 holders.swap(0, index);
                 Err(Shortage {
-                    refusal: busy(self.claim_time()),
+                    refusal: budget_busy(self.claim_time()),
                     holders,
                 })
             }
@@ -245,18 +248,18 @@
         }
     }
 
-    /// No claim was decided within the wait.
-    fn late(&self, told: &News, may_relay: bool) -> Shortage {
+    /// The shortage of a request when no claim was decided in time.
+    fn timed_out(&self, status: &ClaimStatus, may_relay: bool) -> Shortage {
         let detail = "the log did not decide a claim of rights in time";
         let refusal = Refusal::not_run(RefusalKind::LogUnavailable, detail);
-        let listed: &[Holder] = if may_relay { &told.holders } else { &[] };
+        let candidates: &[Holder] = if may_relay { &status.holders } else { &[] };
         Shortage {
             refusal: refusal.with_retry(Duration::from_secs(1)),
-            holders: listed.iter().map(|holder| holder.address).collect(),
+            holders: candidates.iter().map(|holder| holder.address).collect(),
         }
     }
 
-    /// Requests that wait for rights now.
+    /// Costs of the requests that wait for quota now.
     #[must_use]
     pub fn waiting(&self) -> Waiting {
         let waiters = self.lock();
@@ -267,35 +270,35 @@
         }
     }
 
-    /// The last news.
+    /// Outcome of the last claim.
     #[must_use]
-    pub fn news(&self) -> News {
-        self.news.borrow().clone()
+    pub fn claim_status(&self) -> ClaimStatus {
+        self.status.borrow().clone()
     }
 
-    /// Tells all waiters.
-    pub fn tell(&self, change: impl FnOnce(&mut News)) {
-        self.news.send_modify(|news| {
-            change(news);
-            news.number += 1;
+    /// Changes the claim status and wakes all waiters.
+    pub fn update_status(&self, change: impl FnOnce(&mut ClaimStatus)) {
+        self.status.send_modify(|status| {
+            change(status);
+            status.version += 1;
         });
     }
 
-    /// Sets the available rights under which the claimer is woken.
-    pub fn set_low(&self, low: Tokens) {
-        self.low.store(low, Ordering::Relaxed);
+    /// Sets the available tokens below which the claimer is woken.
+    pub fn set_wake_threshold(&self, threshold: Tokens) {
+        self.wake_threshold.store(threshold, Ordering::Relaxed);
     }
 
-    /// Notes how long a claim took.
-    pub fn note_claim(&self, took: Duration) {
+    /// Updates the expected duration of a claim with a measured one.
+    pub fn record_claim_time(&self, took: Duration) {
         let old = self.claim_time.load(Ordering::Relaxed);
         let new = took.as_micros() as u64;
-        // An average over about eight claims.
+        // Exponentially weighted moving average over about eight claims.
         self.claim_time
             .store(old - old / 8 + new / 8, Ordering::Relaxed);
     }
 
-    /// Expected time of a claim.
+    /// Expected duration of a claim.
     #[must_use]
     pub fn claim_time(&self) -> Duration {
         Duration::from_micros(self.claim_time.load(Ordering::Relaxed))
@@ -318,7 +321,7 @@
     }
 }
 
-/// A waiting request; dropped, it waits no more.
+/// Registers a waiting request until it is dropped.
 struct Waiter<'a> {
     account: &'a Account,
     number: u64,
@@ -331,15 +334,15 @@
     }
 }
 
-fn holding(holder: &Holder) -> HolderState {
+fn holder_state(holder: &Holder) -> HolderState {
     HolderState {
         held: holder.held,
-        relay_time: DETOUR,
+        relay_time: RELAY_TIME,
         is_reachable: true,
     }
 }
 
-fn busy(retry: Duration) -> Refusal {
+fn budget_busy(retry: Duration) -> Refusal {
     let detail = "the budget's tokens are held by another router";
     let retry = retry.max(Duration::from_secs(1));
     Refusal::not_run(RefusalKind::BudgetBusy, detail).with_retry(retry)
--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -1,7 +1,7 @@
-//! Where a request is admitted: sender, class, pool, key, and the bound on its cost.
+//! Admission of a request: its sender, class, pool, key and maximum cost.
 //!
-//! Nothing here sends a message. What it refuses was never run, but for keys that
-//! may have run before.
+//! Admission sends no messages. A refused request has not run, unless an earlier
+//! request with the same key may have run.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -27,26 +27,27 @@
 use crate::repeat;
 use crate::surface::{self, LAST_EVENT, Options, Route, bearer, malformed, options, route};
 
-/// When to come back to a router that can't take new work for now.
+/// Retry delay for a router that can't accept new work at the moment.
 const BUSY_RETRY: Duration = Duration::from_secs(1);
-/// When to come back to a key in use on this router.
+/// Retry delay for a key that is in use on this router.
 const KEY_RETRY: Duration = Duration::from_secs(1);
-/// Bytes of a prompt's start that choose a runner with a warm cache.
+/// Length of the prompt prefix (bytes) that selects a runner with a warm cache.
 const PREFIX_BYTES: usize = 1_024;
 
 /// Reads and admits a request.
 ///
 /// # Errors
-/// The final answer to a request that is not admitted.
+/// Returns the refusal to send to the caller.
 pub async fn admit(node: &Node, request: &mut Incoming) -> Result<Call, Refusal> {
     match try_admit(node, request).await {
         Ok(call) => Ok(call),
-        Err(refusal) => Err(judge(node, request.headers(), refusal)),
+        Err(refusal) => Err(adjust_refusal(node, request.headers(), refusal)),
     }
 }
 
-/// The refusal as it is when the request names a key that was dispatched here before.
-fn judge(node: &Node, headers: &HeaderMap, refusal: Refusal) -> Refusal {
+/// Adjusts the refusal of a request whose key was dispatched here before, which may
+/// have run.
+fn adjust_refusal(node: &Node, headers: &HeaderMap, refusal: Refusal) -> Refusal {
     let config = node.config.load();
     let sender = bearer(headers).and_then(|secret| authenticate(&config, secret, false));
     let Ok(sender) = sender else {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Whether the request reads on a stream of its sender's.
+/// Whether the request resumes a stream that belongs to its sender.
 fn is_resumption(node: &Node, headers: &HeaderMap, sender: &Sender) -> bool {
     let id = headers.get(LAST_EVENT).and_then(|id| id.to_str().ok());
     let Some((text, _seen)) = id.and_then(|id| parse_event_id(id.trim())) else {
@@ -76,7 +77,7 @@
     let config = node.config.load();
     let sender = authenticate(&config, bearer(request.headers())?, node.is_stale())?;
     let options = options(request.headers())?;
-    take_new_work(node)?;
+    check_accepting(node)?;
     let body = read_body(request, node.settings.body_limit).await?;
     let original = Original {
         method: request.method().clone(),
@@ -99,8 +100,11 @@
     }
 }
 
-/// Whether this router takes new work at all.
-fn take_new_work(node: &Node) -> Result<(), Refusal> {
+/// Checks that this router accepts new work.
+///
+/// # Errors
+/// Fails while the router is stopping, retired or blocked by unstored charges.
+fn check_accepting(node: &Node) -> Result<(), Refusal> {
     if node.is_stopping() {
         let detail = "this router is stopping";
         return Err(unavailable(detail));
@@ -126,7 +130,7 @@
     })
 }
 
-/// A request whose sender is known.
+/// A request whose sender is authenticated.
 struct Admission<'a> {
     node: &'a Node,
     config: Arc<Config>,
@@ -134,8 +138,8 @@
     options: Options,
 }
 
-/// What the parts of a call have to say about it.
-struct Parts {
+/// The parts of a call that depend on the kind of its work.
+struct CallParts {
     pool: Arc<Pool>,
     spec: Arc<PoolSpec>,
     once: bool,
@@ -155,7 +159,7 @@
             stream: body.stream,
             prefix: prefix_hash(&body),
         };
-        let parts = Parts {
+        let parts = CallParts {
             pool,
             spec,
             once: self.options.once,
@@ -170,7 +174,7 @@
         let (pool, spec) = self.pool(name, PoolKind::Service)?;
         let method = original.method.as_str();
         let once = self.options.once || spec.once.iter().any(|once| once == method);
-        let parts = Parts {
+        let parts = CallParts {
             tokens: spec.call_tokens,
             pool,
             spec,
@@ -198,10 +202,10 @@
             from: seen.saturating_add(1),
             token,
         };
-        let parts = Parts {
+        let parts = CallParts {
             pool,
             spec,
-            // Reading on runs nothing, so it may be repeated.
+            // Resuming a stream runs nothing, so it may be repeated.
             once: false,
             tokens: 0,
             work: Work::Resume(work),
@@ -229,13 +233,13 @@
         self,
         original: Original,
         key: Option<RequestKey>,
-        parts: Parts,
+        parts: CallParts,
     ) -> Result<Call, Refusal> {
         let workspace = &self.sender.workspace;
         let wanted = self.options.class.as_ref();
         let (class_name, class) = class_of(&self.config, workspace, wanted)?;
         let (budget, bound) = match &parts.work {
-            // The stream's own budget and bound, as it was admitted with.
+            // The budget and the maximum cost with which the stream was admitted.
             Work::Resume(resume) => (
                 BudgetName::from(resume.token.budget.as_str()),
                 resume.token.bound,
@@ -245,8 +249,8 @@
         let evicted = self
             .node
             .members
-            .seat(&budget)
-            .map_or(0, |seat| seat.evicted_ms);
+            .find(&budget)
+            .map_or(0, |membership| membership.evicted_ms);
         let now = wall_ms();
         let has_key = key.is_some();
         let key = key.unwrap_or_else(|| RequestKey::generate(now));
@@ -256,8 +260,9 @@
             _ => keys.take(&self.sender.name, key, now, evicted),
         };
         let key_use = taken.map_err(key_refusal)?;
-        // After the key is in use: a stop that begins now waits for this request.
-        take_new_work(self.node)?;
+        // Checked again while the key is in use: a stop that begins from here on waits
+        // for this request.
+        check_accepting(self.node)?;
         let identity = identity(&key_use, has_key, &original);
         let limit = Duration::from_millis(self.node.settings.deadline_ms);
         let deadline = Instant::now() + self.options.deadline.unwrap_or(limit).min(limit);
@@ -323,7 +328,7 @@
     Refusal::not_run(RefusalKind::Unavailable, detail).with_retry(BUSY_RETRY)
 }
 
-/// The refusal when no backend server of a pool takes work.
+/// The refusal when no backend server of a pool accepts work.
 #[must_use]
 pub fn no_server(pool: &PoolName, retry: Option<Duration>) -> Refusal {
     let detail = format!("no backend server of {pool} takes new work now");
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: followed from any ledger, published to requests.
+//! The current configuration: replicated from any ledger and published to requests.
 //!
-//! It is as old as the last moment at which some ledger knew the log's end and this
-//! router had folded up to it. It never goes back.
+//! Its age counts from the last time at which a ledger knew the log's end and this
+//! router had applied all records up to it. It never goes back to an earlier version.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,37 +24,40 @@
 use crate::ledgers::{Ledgers, describe};
 use crate::pings::NO_CONTACT_MS;
 
-/// A ledger that sends no page for so long is left for another.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Age from which on the log counts as out. Ledgers tell their knowledge of its end
-/// at least every second.
-const LOG_SILENCE: Duration = Duration::from_millis(2_500);
-/// First and largest pause between tries.
+/// Maximum wait for a page before another ledger is followed.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Age above which the log counts as unavailable. Ledgers report what they know of the
+/// log's end at least every second.
+const LOG_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// First and maximum delay between attempts.
 const RETRY_BASE: Duration = Duration::from_millis(50);
 const RETRY_CAP: Duration = Duration::from_millis(1_000);
 
-/// Time of the view's clock at its start: what a ledger knew long before can be told.
-const START: Micros = 1 << 60;
+/// Reading of the view's clock at its start. It is large so that times long before the
+/// start can be represented.
+const CLOCK_START: Micros = 1 << 60;
 
-/// The published configuration; reading it takes no lock.
+/// The published configuration. Reading it takes no lock.
 #[derive(Debug)]
 pub struct ConfigView {
     current: ArcSwap<Config>,
     pools: Arc<Pools>,
     start: Instant,
     freshness: Mutex<Freshness>,
-    /// Time of this view's clock of which the configuration is known
-    /// to be the newest, plus one; 0 before the first.
-    known: AtomicU64,
-    /// The same for the moment until which it may be taken for the newest.
-    until: AtomicU64,
-    /// Offset of the configuration stream that is read next.
+    /// Time on this view's clock at which the configuration was known to be the
+    /// newest, plus one; 0 before the first.
+    confirmed_at: AtomicU64,
+    /// Time until which the configuration may be treated as the newest, encoded the
+    /// same way.
+    trusted_until: AtomicU64,
+    /// Next offset to read from the configuration stream.
     offset: AtomicU64,
     changed: watch::Sender<u64>,
 }
 
 impl ConfigView {
-    /// An empty configuration of unlimited age; `pools` get each new one first.
+    /// Creates a view of an empty configuration of unlimited age. `pools` receives each
+    /// new configuration before it is published.
     #[must_use]
     pub fn new(pools: Arc<Pools>, freshness: Freshness) -> Arc<Self> {
         Arc::new(Self {
@@ -62,14 +65,14 @@
             pools,
             start: Instant::now(),
             freshness: Mutex::new(freshness),
-            known: AtomicU64::new(0),
-            until: AtomicU64::new(0),
+            confirmed_at: AtomicU64::new(0),
+            trusted_until: AtomicU64::new(0),
             offset: AtomicU64::new(0),
             changed: watch::Sender::new(0),
         })
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     #[must_use]
     pub fn load(&self) -> Arc<Config> {
         self.current.load_full()
@@ -78,14 +81,14 @@
     /// Time since the configuration was known to be the newest; `None` before the first.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        let known = self.known.load(Ordering::Relaxed).checked_sub(1)?;
+        let known = self.confirmed_at.load(Ordering::Relaxed).checked_sub(1)?;
         Some(Duration::from_micros(self.now().saturating_sub(known)))
     }
 
     /// Whether a newer configuration may exist; true before the first.
     #[must_use]
     pub fn is_stale(&self) -> bool {
-        let until = self.until.load(Ordering::Relaxed).checked_sub(1);
+        let until = self.trusted_until.load(Ordering::Relaxed).checked_sub(1);
         until.is_none_or(|until| self.now() > until)
     }
 
@@ -93,34 +96,35 @@
     #[must_use]
     pub fn trust(&self) -> Trust {
         let now = self.now();
-        self.freshness().judge(now)
+        self.freshness().trust_at(now)
     }
 
-    /// Offset of the configuration stream that is read next.
+    /// Next offset to read from the configuration stream.
     #[must_use]
     pub fn offset(&self) -> u64 {
         self.offset.load(Ordering::Relaxed)
     }
 
-    /// Time of this view's clock.
+    /// Time on this view's clock.
     #[must_use]
     pub fn now(&self) -> Micros {
-        START.saturating_add(micros(self.start.elapsed()))
+        CLOCK_START.saturating_add(micros(self.start.elapsed()))
     }
 
-    /// Notes the answer of ledger number `ledger` of the nearest first.
-    pub fn hear(&self, ledger: usize, pong: Pong) {
-        self.judge(|freshness| freshness.pong(ledger, pong));
+    /// Records the ping answer of a ledger; `ledger` is its index in the list that
+    /// starts with the router's own failure domain.
+    pub fn on_pong(&self, ledger: usize, pong: Pong) {
+        self.update_freshness(|freshness| freshness.on_pong(ledger, pong));
     }
 
-    /// Whether no ledger has heard from the log lately, as far as this router knows:
-    /// what needs the log's word need not wait for it.
+    /// Whether, as far as this router knows, no ledger was in contact with the log
+    /// recently. Requests that need a decision of the log need not wait for one then.
     #[must_use]
     pub fn is_log_silent(&self) -> bool {
-        self.age().is_none_or(|age| age > LOG_SILENCE)
+        self.age().is_none_or(|age| age > LOG_TIMEOUT)
     }
 
-    /// Tells of each new version.
+    /// Receives each new version.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
@@ -131,19 +135,20 @@
             return;
         }
         let version = config.version;
-        // Before a request can find the pool in the configuration in force: else it
-        // would be refused as if the pool didn't exist.
+        // Configured first: a request that found the pool only in the current
+        // configuration would be refused as if the pool didn't exist.
         self.pools.configure(&config);
         self.current.store(config);
         self.changed.send_replace(version);
         event!(info, "config.applied", version = version);
     }
 
-    /// Notes that the configuration was the newest `age` ago, perhaps before the start.
+    /// Records that the configuration was the newest `age` ago, which may be before
+    /// this process started.
     pub fn confirm(&self, age: Duration) {
         let known = self.now().saturating_sub(micros(age));
-        self.known.fetch_max(known + 1, Ordering::Relaxed);
-        self.judge(|freshness| freshness.page(known));
+        self.confirmed_at.fetch_max(known + 1, Ordering::Relaxed);
+        self.update_freshness(|freshness| freshness.on_page(known));
     }
 
     fn freshness(&self) -> std::sync::MutexGuard<'_, Freshness> {
@@ -152,12 +157,15 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes news in, and publishes until when the configuration may be trusted.
-    fn judge(&self, news: impl FnOnce(&mut Freshness)) {
+    /// Applies `update` and publishes the time until which the configuration may be
+    /// trusted.
+    fn update_freshness(&self, update: impl FnOnce(&mut Freshness)) {
         let mut freshness = self.freshness();
-        news(&mut freshness);
-        let until = freshness.until().map_or(0, |until| until.saturating_add(1));
-        self.until.store(until, Ordering::Relaxed);
+        update(&mut freshness);
+        let until = freshness
+            .trusted_until()
+            .map_or(0, |until| until.saturating_add(1));
+        self.trusted_until.store(until, Ordering::Relaxed);
     }
 }
 
@@ -165,7 +173,7 @@
     Micros::try_from(time.as_micros()).unwrap_or(Micros::MAX - 1)
 }
 
-/// Follows the configuration until `stop`, from one ledger after another.
+/// Replicates the configuration until `stop`, from one ledger after another.
 pub async fn follow(
     view: Arc<ConfigView>,
     ledgers: Arc<Ledgers>,
@@ -179,7 +187,7 @@
     };
     let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
     let mut index = 0;
-    let mut said = false;
+    let mut is_logged = false;
     while !stop.is_cancelled() {
         let ledger = &ledgers.near()[index % ledgers.near().len()];
         index += 1;
@@ -190,15 +198,15 @@
         match outcome {
             Ok(()) => {
                 backoff.reset();
-                said = false;
+                is_logged = false;
             }
-            Err(why) if !said => {
+            Err(why) if !is_logged => {
                 event!(warn, "config.source-lost", why = why);
-                said = true;
+                is_logged = true;
             }
             Err(_) => {}
         }
-        // Own ledger first again after a full round.
+        // After a full round, restart with the ledgers of the own failure domain.
         if index >= ledgers.near().len() {
             index = 0;
             let pause = backoff.next(rand::random());
@@ -217,7 +225,7 @@
 }
 
 impl Follower {
-    /// Follows one ledger; returns `Ok` when it served pages before it was left.
+    /// Follows one ledger. Returns `Ok` when it served pages before it failed.
     async fn run(&mut self, client: &Arc<Client>) -> Result<(), String> {
         let follow = Follow {
             stream: CONFIG_STREAM.to_owned(),
@@ -227,25 +235,25 @@
         let mut replies = opened.map_err(|error| describe(&error))?;
         let mut served = false;
         loop {
-            let reply = match timeout(SILENCE, replies.next()).await {
+            let reply = match timeout(PAGE_TIMEOUT, replies.next()).await {
                 Ok(Some(reply)) => reply,
-                Ok(None) => return left(served, "ledger ended the stream".to_owned()),
-                Err(_elapsed) => return left(served, "ledger silent".to_owned()),
+                Ok(None) => return finish(served, "ledger ended the stream".to_owned()),
+                Err(_elapsed) => return finish(served, "ledger did not respond".to_owned()),
             };
             let page = match reply {
                 Ok(reply::Kind::Page(page)) => page,
-                Ok(_) => return left(served, "unexpected reply to a follow".to_owned()),
-                Err(error) => return left(served, describe_stream(&error)),
+                Ok(_) => return finish(served, "unexpected reply to a follow".to_owned()),
+                Err(error) => return finish(served, describe_stream(&error)),
             };
-            self.take(&page)?;
+            self.apply(&page)?;
             served = true;
             if Duration::from_millis(page.age_ms) > self.stale / 2 {
-                return Err("ledger has lost the log".to_owned());
+                return Err("ledger has lost contact with the log".to_owned());
             }
         }
     }
 
-    fn take(&mut self, page: &Page) -> Result<(), String> {
+    fn apply(&mut self, page: &Page) -> Result<(), String> {
         self.replica
             .feed(page.first, &page.records)
             .map_err(|error| error.to_string())?;
@@ -255,15 +263,19 @@
             return Ok(());
         };
         self.view.publish(state.config());
-        let is_told = page.age_ms < NO_CONTACT_MS;
-        if is_told && self.replica.is_ready() && self.replica.next() >= page.next {
+        let is_age_known = page.age_ms < NO_CONTACT_MS;
+        if is_age_known && self.replica.is_ready() && self.replica.next() >= page.next {
             self.view.confirm(Duration::from_millis(page.age_ms));
         }
         Ok(())
     }
 }
 
-fn left(served: bool, why: String) -> Result<(), String> {
+/// Ends the following of one ledger. Logs `why` if the ledger has served pages.
+///
+/// # Errors
+/// Returns `why` if the ledger has served none.
+fn finish(served: bool, why: String) -> Result<(), String> {
     if served {
         event!(info, "config.source-left", why = why);
         return Ok(());
--- a/crates/router/src/ledgers.rs
+++ b/crates/router/src/ledgers.rs
@@ -1,7 +1,8 @@
-//! Links to the fleet's ledgers: records submitted, charges stored, pages followed.
+//! Connections to the fleet's ledgers, which submit records, store charges and serve
+//! pages of streams.
 //!
-//! Every record is idempotent, so a record whose fate did not come back is simply
-//! submitted again, through any ledger.
+//! Every record is idempotent, so a record without a reply is submitted again through
+//! any ledger.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,21 +17,21 @@
 
 use crate::settings::Settings;
 
-/// Pause before all ledgers are asked again when none took a record.
+/// Pause before another round over all ledgers when none accepted a record.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// Time for which a ledger that failed is asked only after the others.
-const SHUN_TIME: Duration = Duration::from_secs(1);
+/// Time for which a ledger that failed is tried only after the others.
+const DEPRIORITIZE_TIME: Duration = Duration::from_secs(1);
 
-/// One ledger as this router sees it.
+/// One ledger and this router's connection to it.
 #[derive(Debug)]
 pub struct Ledger {
-    /// Link to it.
+    /// Connection to the ledger.
     pub client: Arc<Client>,
     /// Failure domain that it runs in.
     pub domain: DomainName,
     start: Instant,
-    /// Microseconds from `start` until which it is asked after the others.
-    shunned: AtomicU64,
+    /// Time until which it is tried after the others (µs since `start`).
+    deprioritized_until: AtomicU64,
 }
 
 impl Ledger {
@@ -39,48 +40,48 @@
             client,
             domain: DomainName::from(domain),
             start: Instant::now(),
-            shunned: AtomicU64::new(0),
+            deprioritized_until: AtomicU64::new(0),
         })
     }
 
-    /// Asks it only after the others for a while.
-    pub fn shun(&self) {
-        let until = self.start.elapsed() + SHUN_TIME;
-        self.shunned
+    /// Makes [`by_preference`] list the ledger after the others for a while.
+    pub fn deprioritize(&self) {
+        let until = self.start.elapsed() + DEPRIORITIZE_TIME;
+        self.deprioritized_until
             .store(until.as_micros() as u64, Ordering::Relaxed);
     }
 
-    fn is_shunned(&self) -> bool {
+    fn is_deprioritized(&self) -> bool {
         let now = self.start.elapsed().as_micros() as u64;
-        now < self.shunned.load(Ordering::Relaxed)
+        now < self.deprioritized_until.load(Ordering::Relaxed)
     }
 }
 
-/// The connected ledgers of `list` in order, those that failed lately last.
+/// The connected ledgers of `list` in order, those that failed recently last.
 #[must_use]
-pub fn order(list: &[Arc<Ledger>]) -> Vec<&Arc<Ledger>> {
-    let mut order: Vec<_> = list.iter().filter(|ledger| ledger.client.is_up()).collect();
-    order.sort_by_key(|ledger| ledger.is_shunned());
-    order
+pub fn by_preference(list: &[Arc<Ledger>]) -> Vec<&Arc<Ledger>> {
+    let mut sorted: Vec<_> = list.iter().filter(|ledger| ledger.client.is_up()).collect();
+    sorted.sort_by_key(|ledger| ledger.is_deprioritized());
+    sorted
 }
 
-/// No ledger could have the record decided in time; it may still be.
+/// No ledger returned a decision on the record in time. The record may still be decided.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("no ledger decided the record: {0}")]
-pub struct Undecided(pub String);
+pub struct UndecidedError(pub String);
 
 /// All ledgers, in this router's order of preference.
 #[derive(Debug)]
 pub struct Ledgers {
-    /// Own failure domain first.
+    /// Ledgers of the own failure domain first.
     near: Vec<Arc<Ledger>>,
-    /// Other failure domains first.
+    /// Ledgers of other failure domains first.
     far: Vec<Arc<Ledger>>,
-    try_time: Duration,
+    attempt_timeout: Duration,
 }
 
 impl Ledgers {
-    /// Starts the links.
+    /// Starts the connections.
     #[must_use]
     pub fn spawn(settings: &Settings) -> Self {
         let common = &settings.common;
@@ -97,10 +98,10 @@
                 others.push(ledger);
             }
         }
-        // Routers of one domain start at different ledgers of the others, so that
-        // the loss of a ledger doesn't move all of them to the same one.
+        // Routers of one domain start with different ledgers of the other domains, so
+        // that the loss of a ledger doesn't move all of them to the same one.
         if !others.is_empty() {
-            let start = spread(&common.vm, others.len());
+            let start = start_index(&common.vm, others.len());
             others.rotate_left(start);
         }
         let near = own.iter().chain(&others).map(Arc::clone).collect();
@@ -108,7 +109,7 @@
         Self {
             near,
             far,
-            try_time: settings.ledger_try(),
+            attempt_timeout: settings.ledger_try(),
         }
     }
 
@@ -124,49 +125,50 @@
         &self.far
     }
 
-    /// Submits `kind` on the stream of `shard` through one ledger after another,
-    /// until the fold has decided it or `wait` is over.
+    /// Submits `kind` to the stream of `shard` through one ledger after another, until
+    /// the fold of the log has decided it or `wait` is over.
     ///
     /// # Errors
-    /// When no fate came back in time. The record may be appended, now or later.
+    /// Fails when no decision was received in time. The record may have been appended or
+    /// may be appended later.
     pub async fn submit(
         &self,
         shard: u32,
         kind: record::Kind,
         wait: Duration,
-    ) -> Result<fate::Kind, Undecided> {
+    ) -> Result<fate::Kind, UndecidedError> {
         let until = Instant::now() + wait;
         let mut why = String::from("no ledger is connected");
         loop {
-            for ledger in order(&self.near) {
+            for ledger in by_preference(&self.near) {
                 let left = until.saturating_duration_since(Instant::now());
                 if left.is_zero() {
-                    return Err(Undecided(why));
+                    return Err(UndecidedError(why));
                 }
-                match self.try_one(&ledger.client, shard, &kind, left).await {
+                match self.submit_to(&ledger.client, shard, &kind, left).await {
                     Ok(fate) => return Ok(fate),
                     Err(error) => {
-                        ledger.shun();
+                        ledger.deprioritize();
                         why = error;
                     }
                 }
             }
             let left = until.saturating_duration_since(Instant::now());
             if left <= ROUND_PAUSE {
-                return Err(Undecided(why));
+                return Err(UndecidedError(why));
             }
             tokio::time::sleep(ROUND_PAUSE).await;
         }
     }
 
-    async fn try_one(
+    async fn submit_to(
         &self,
         client: &Client,
         shard: u32,
         kind: &record::Kind,
         left: Duration,
     ) -> Result<fate::Kind, String> {
-        let wait = left.min(self.try_time);
+        let wait = left.min(self.attempt_timeout);
         let record = Record {
             kind: Some(kind.clone()),
         };
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Closes all links.
+    /// Closes all connections.
     pub async fn stop(&self) {
         for ledger in &self.near {
             ledger.client.stop().await;
@@ -198,7 +200,7 @@
     first.ok_or_else(|| "a submit without a fate".to_owned())
 }
 
-/// One line about a failed call, for logs and refusals.
+/// Describes a failed call in one line, for logs and refusals.
 #[must_use]
 pub fn describe(error: &LinkError) -> String {
     match error {
@@ -212,8 +214,8 @@
     }
 }
 
-/// A start index that differs between VMs.
-fn spread(vm: &str, count: usize) -> usize {
+/// Derives a start index from the VM's name, so that routers start at different ledgers.
+fn start_index(vm: &str, count: usize) -> usize {
     let sum: usize = vm.bytes().map(usize::from).sum();
     sum % count
 }
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -1,10 +1,10 @@
-//! This router's membership of each budget stream: its incarnations.
+//! This router's membership in each budget stream: its incarnations.
 //!
-//! Before its join on a stream is decided, a router has no rights on the stream's
-//! budgets. An incarnation that the log has retired is left, with its rights, for
-//! a new one. Ledgers take the new one's join for proof that the old one is gone, and
-//! free its rights; so the router joins anew only once nothing is left that may still
-//! be charged to the old one.
+//! A router has no quota of a stream's budgets before the log has decided its join. When
+//! the log retires an incarnation, the router gives it up together with its quota and
+//! joins as a new one. Ledgers treat the new join as proof that the old incarnation is
+//! gone and release its quota. The router therefore joins again only when nothing can be
+//! charged to the old incarnation any more.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -27,33 +27,33 @@
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
 
-/// Longest wait for the fate of one join or mark.
-const DECIDE_WAIT: Duration = Duration::from_secs(2);
-/// First and largest pause between tries.
+/// Maximum wait for the decision on one join or mark.
+const DECIDE_TIMEOUT: Duration = Duration::from_secs(2);
+/// First and maximum delay between attempts.
 const RETRY_BASE: Duration = Duration::from_millis(100);
 const RETRY_CAP: Duration = Duration::from_secs(2);
 
 /// One incarnation of this router on one budget stream.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Membership {
     /// Number of the stream.
     pub shard: u32,
-    /// Its name on the stream.
+    /// Identity on the stream.
     pub incarnation: Incarnation,
-    /// Keys created before this are forgotten by the log.
+    /// Creation time before which the log has forgotten keys.
     pub evicted_ms: WallMs,
     serial: AtomicU64,
     retired: AtomicBool,
-    /// Wakes the keeper at the retirement.
-    left: Notify,
-    stays: AtomicUsize,
-    /// Wakes the keeper when the last stay on a retired incarnation ends.
-    empty: Notify,
+    /// Wakes the keeper when the incarnation is retired.
+    retirement: Notify,
+    pending_work: AtomicUsize,
+    /// Wakes the keeper when the last work on a retired incarnation ends.
+    drained: Notify,
     accounts: HashMap<BudgetName, Arc<Account>>,
 }
 
-impl Seat {
-    /// An incarnation that has just joined.
+impl Membership {
+    /// Creates the membership of an incarnation that has just joined.
     #[must_use]
     pub fn new(shard: u32, incarnation: Incarnation, evicted_ms: WallMs) -> Arc<Self> {
         Arc::new(Self {
@@ -62,44 +62,44 @@
             evicted_ms,
             serial: AtomicU64::new(0),
             retired: AtomicBool::new(false),
-            left: Notify::new(),
-            stays: AtomicUsize::new(0),
-            empty: Notify::new(),
+            retirement: Notify::new(),
+            pending_work: AtomicUsize::new(0),
+            drained: Notify::new(),
             accounts: HashMap::new(),
         })
     }
 
-    /// The account of `budget`, if it was opened.
+    /// The account of `budget`, if it is open.
     #[must_use]
     pub fn find(&self, budget: &BudgetName) -> Option<Arc<Account>> {
         self.accounts.pin().get(budget).map(Arc::clone)
     }
 
-    /// The account of `budget`; its claimer is started at the first use.
+    /// The account of `budget`. The first call opens it and starts its claimer.
     #[must_use]
     pub fn open(self: &Arc<Self>, budget: &BudgetName, claimers: &Claimers) -> Arc<Account> {
         if let Some(account) = self.find(budget) {
             return account;
         }
-        let fresh = Arc::new(Account::new(budget.clone()));
+        let account = Arc::new(Account::new(budget.clone()));
         let accounts = self.accounts.pin();
-        match accounts.try_insert(budget.clone(), Arc::clone(&fresh)) {
+        match accounts.try_insert(budget.clone(), Arc::clone(&account)) {
             Ok(_) => {
-                claimers.spawn(self, &fresh);
-                fresh
+                claimers.spawn(self, &account);
+                account
             }
-            Err(taken) => Arc::clone(taken.current),
+            Err(occupied) => Arc::clone(occupied.current),
         }
     }
 
-    /// All accounts opened so far.
+    /// All open accounts.
     #[must_use]
     pub fn accounts(&self) -> Vec<Arc<Account>> {
         let accounts = self.accounts.pin();
         accounts.values().map(Arc::clone).collect()
     }
 
-    /// The next charge's number; the first is 1.
+    /// Serial number of the next charge, counted from 1.
     #[must_use]
     pub fn next_serial(&self) -> u64 {
         self.serial.fetch_add(1, Ordering::Relaxed) + 1
@@ -107,46 +107,46 @@
 
     /// Begins work that may be charged to this incarnation; `None` once it is retired.
     #[must_use]
-    pub fn enter(self: &Arc<Self>) -> Option<Stay> {
-        // Counted first: whoever sees the incarnation retired and empty knows that no
-        // later work begins on it.
-        let stay = self.stay();
-        (!self.is_retired()).then_some(stay)
+    pub fn begin_work(self: &Arc<Self>) -> Option<WorkGuard> {
+        // Counted before the check: once an incarnation was seen retired and without
+        // work, no work can begin on it.
+        let guard = self.continue_work();
+        (!self.is_retired()).then_some(guard)
     }
 
-    /// Goes on with work that has begun on this incarnation.
+    /// Adds a guard to work that has already begun on this incarnation.
     #[must_use]
-    pub fn stay(self: &Arc<Self>) -> Stay {
-        self.stays.fetch_add(1, Ordering::SeqCst);
-        Stay {
-            seat: Arc::clone(self),
+    pub fn continue_work(self: &Arc<Self>) -> WorkGuard {
+        self.pending_work.fetch_add(1, Ordering::SeqCst);
+        WorkGuard {
+            membership: Arc::clone(self),
         }
     }
 
-    /// Requests and charges that are under way on this incarnation.
+    /// Number of requests and charges in progress on this incarnation.
     #[must_use]
-    pub fn stays(&self) -> usize {
-        self.stays.load(Ordering::SeqCst)
+    pub fn pending_work(&self) -> usize {
+        self.pending_work.load(Ordering::SeqCst)
     }
 
-    /// Whether the router may join anew: the incarnation is retired, and nothing is
-    /// left that may be charged to it.
+    /// Whether the router may join again: the incarnation is retired and nothing can be
+    /// charged to it any more.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.is_retired() && self.stays() == 0
+    pub fn is_drained(&self) -> bool {
+        self.is_retired() && self.pending_work() == 0
     }
 
-    /// Waits until a retired incarnation is over.
-    pub async fn over(&self) {
-        while !self.is_over() {
-            self.empty.notified().await;
+    /// Waits until the incarnation is retired and drained.
+    pub async fn drained(&self) {
+        while !self.is_drained() {
+            self.drained.notified().await;
         }
     }
 
-    /// Notes that the log has retired this incarnation.
+    /// Marks this incarnation as retired by the log.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::SeqCst);
-        self.left.notify_one();
+        self.retirement.notify_one();
     }
 
     /// Whether the log has retired this incarnation.
@@ -155,8 +155,9 @@
         self.retired.load(Ordering::SeqCst)
     }
 
-    /// Looks at a rejection: an incarnation that is unknown or retired is left.
-    pub fn note_rejection(&self, reason: RejectReason) {
+    /// Handles the rejection of a record: an incarnation that the log doesn't know or has
+    /// retired is marked as retired.
+    pub fn on_rejection(&self, reason: RejectReason) {
         if matches!(
             reason,
             RejectReason::Retired | RejectReason::UnknownIncarnation
@@ -166,110 +167,113 @@
     }
 }
 
-/// Work under way on an incarnation, from before its rights are reserved until its
-/// charge is decided or it is certain that there will be none. Rights that stay
-/// reserved since the end of a run isn't known are no work: they are never charged.
+/// Work in progress on an incarnation. It lasts from before its quota is reserved until
+/// its charge is decided or it is certain that there will be none. Quota that stays
+/// reserved because the end of a run is unknown doesn't count: it is never charged.
 #[derive(Debug)]
-pub struct Stay {
-    seat: Arc<Seat>,
+pub struct WorkGuard {
+    membership: Arc<Membership>,
 }
 
-impl Deref for Stay {
-    type Target = Arc<Seat>;
+impl Deref for WorkGuard {
+    type Target = Arc<Membership>;
 
-    fn deref(&self) -> &Arc<Seat> {
-        &self.seat
+    fn deref(&self) -> &Arc<Membership> {
+        &self.membership
     }
 }
 
-impl Drop for Stay {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
-        let was_last = self.seat.stays.fetch_sub(1, Ordering::SeqCst) == 1;
-        if was_last && self.seat.is_retired() {
-            self.seat.empty.notify_one();
+        let was_last = self.membership.pending_work.fetch_sub(1, Ordering::SeqCst) == 1;
+        if was_last && self.membership.is_retired() {
+            self.membership.drained.notify_one();
         }
     }
 }
 
-/// The memberships on all budget streams.
+/// The memberships in all budget streams.
 #[derive(Debug)]
-pub struct Members {
-    seats: Box<[ArcSwapOption<Seat>]>,
+pub struct Memberships {
+    by_shard: Box<[ArcSwapOption<Membership>]>,
 }
 
-impl Members {
-    /// No membership yet on any of `shards` streams.
+impl Memberships {
+    /// Creates an empty set for `shards` streams.
     #[must_use]
     pub fn new(shards: u32) -> Arc<Self> {
-        let seats = (0..shards).map(|_| ArcSwapOption::empty()).collect();
-        Arc::new(Self { seats })
+        let by_shard = (0..shards).map(|_| ArcSwapOption::empty()).collect();
+        Arc::new(Self { by_shard })
     }
 
-    /// The membership that `budget` needs; `None` before its join is decided.
+    /// The membership in the stream of `budget`; `None` before the join is decided and
+    /// after the incarnation is retired.
     #[must_use]
-    pub fn seat(&self, budget: &BudgetName) -> Option<Arc<Seat>> {
-        let shard = shard_of(budget.as_str(), self.seats.len() as u32);
-        let seat = self.seats[shard as usize].load_full()?;
-        (!seat.is_retired()).then_some(seat)
+    pub fn find(&self, budget: &BudgetName) -> Option<Arc<Membership>> {
+        let shard = shard_of(budget.as_str(), self.by_shard.len() as u32);
+        let membership = self.by_shard[shard as usize].load_full()?;
+        (!membership.is_retired()).then_some(membership)
     }
 
-    /// The memberships in force.
+    /// The current memberships.
     #[must_use]
-    pub fn seats(&self) -> Vec<Arc<Seat>> {
-        let loaded = self.seats.iter().map(ArcSwapOption::load_full);
+    pub fn all(&self) -> Vec<Arc<Membership>> {
+        let loaded = self.by_shard.iter().map(ArcSwapOption::load_full);
         loaded.flatten().collect()
     }
 
-    /// Number of streams joined now.
+    /// Number of streams that are joined now.
     #[must_use]
     pub fn joined(&self) -> usize {
-        let seats = self.seats.iter();
-        seats.filter(|seat| seat.load().is_some()).count()
+        let by_shard = self.by_shard.iter();
+        by_shard
+            .filter(|membership| membership.load().is_some())
+            .count()
     }
 
-    fn put(&self, seat: Option<Arc<Seat>>, shard: u32) {
-        self.seats[shard as usize].store(seat);
+    fn set(&self, membership: Option<Arc<Membership>>, shard: u32) {
+        self.by_shard[shard as usize].store(membership);
     }
 }
 
-/// What a membership needs to be kept.
+/// Joins budget streams and keeps their memberships.
 #[derive(Debug, Clone)]
 pub struct Keeper {
     /// VM of this router.
     pub vm: VmName,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Callers' address, bound by this process.
+    /// Address for callers, bound by this process.
     pub address: SocketAddr,
     /// Time between marks.
     pub mark: Duration,
-    /// Where records are submitted.
+    /// Ledgers to which records are submitted.
     pub ledgers: Arc<Ledgers>,
     /// Keys in use.
     pub keys: Arc<Keys>,
-    /// Where the membership is published.
-    pub members: Arc<Members>,
-    /// Ends the upkeep.
+    /// Receives the current memberships.
+    pub members: Arc<Memberships>,
+    /// Stops the keeper.
     pub stop: CancellationToken,
 }
 
 impl Keeper {
-    /// Joins the stream of `shard`, marks settled keys, and joins anew when retired.
+    /// Joins the stream of `shard`, marks settled keys, and joins again when retired.
     pub async fn keep(self, shard: u32) {
         let mut epoch = wall_micros();
         while !self.stop.is_cancelled() {
-            let Some(seat) = self.join(shard, epoch).await else {
+            let Some(membership) = self.join(shard, epoch).await else {
                 return;
             };
-            let incarnation = seat.incarnation.to_string();
+            let incarnation = membership.incarnation.to_string();
             event!(
                 info,
                 "shard.joined",
                 shard = shard,
                 incarnation = incarnation
             );
-            self.members.put(Some(Arc::clone(&seat)), shard);
-            self.mark_until_retired(&seat).await;
+            self.members.set(Some(Arc::clone(&membership)), shard);
+            self.mark_until_retired(&membership).await;
             if self.stop.is_cancelled() {
                 return;
             }
@@ -278,25 +282,25 @@
                 "shard.retired",
                 shard = shard,
                 incarnation = incarnation,
-                under_way = seat.stays()
+                under_way = membership.pending_work()
             );
-            self.members.put(None, shard);
-            for account in seat.accounts() {
+            self.members.set(None, shard);
+            for account in membership.accounts() {
                 account.wake.notify_one();
             }
-            // A join now would free the rights on which the work under way draws.
+            // A join now would release the quota that work in progress still uses.
             tokio::select! {
                 () = self.stop.cancelled() => return,
-                () = seat.over() => {}
+                () = membership.drained() => {}
             }
-            epoch = wall_micros().max(seat.incarnation.epoch + 1);
+            epoch = wall_micros().max(membership.incarnation.epoch + 1);
         }
     }
 
-    /// Joins at `epoch` or above; `None` when stopped before.
-    async fn join(&self, shard: u32, mut epoch: u64) -> Option<Arc<Seat>> {
+    /// Joins with an epoch of at least `epoch`. Returns `None` when stopped before.
+    async fn join(&self, shard: u32, mut epoch: u64) -> Option<Arc<Membership>> {
         let mut backoff = Backoff::new(RETRY_BASE, RETRY_CAP);
-        let mut said = false;
+        let mut is_logged = false;
         loop {
             let incarnation = Incarnation {
                 vm: self.vm.clone(),
@@ -306,16 +310,16 @@
                 incarnation: Some((&incarnation).into()),
                 address: self.address.to_string(),
                 domain: self.domain.to_string(),
-                floor_ms: self.keys.raise(wall_ms()),
+                floor_ms: self.keys.raise_floor(wall_ms()),
             };
             let kind = record::Kind::Join(join);
             let decided = tokio::select! {
                 () = self.stop.cancelled() => return None,
-                decided = self.ledgers.submit(shard, kind, DECIDE_WAIT) => decided,
+                decided = self.ledgers.submit(shard, kind, DECIDE_TIMEOUT) => decided,
             };
             match decided {
                 Ok(fate::Kind::Join(fate)) if fate.active => {
-                    return Some(Seat::new(shard, incarnation, fate.evicted_ms));
+                    return Some(Membership::new(shard, incarnation, fate.evicted_ms));
                 }
                 Ok(fate::Kind::Join(fate)) => {
                     epoch = fate.newest_epoch.max(epoch) + 1;
@@ -329,9 +333,9 @@
                         fate = format!("{other:?}")
                     );
                 }
-                Err(error) if !said => {
+                Err(error) if !is_logged => {
                     event!(warn, "shard.join-waits", shard = shard, why = error);
-                    said = true;
+                    is_logged = true;
                 }
                 Err(_) => {}
             }
@@ -342,31 +346,34 @@
         }
     }
 
-    async fn mark_until_retired(&self, seat: &Seat) {
+    async fn mark_until_retired(&self, membership: &Membership) {
         loop {
             tokio::select! {
                 () = self.stop.cancelled() => return,
-                () = seat.left.notified() => return,
+                () = membership.retirement.notified() => return,
                 () = tokio::time::sleep(self.mark) => {}
             }
-            if seat.is_retired() {
+            if membership.is_retired() {
                 return;
             }
             let mark = Mark {
-                incarnation: Some((&seat.incarnation).into()),
-                floor_ms: self.keys.raise(wall_ms()),
+                incarnation: Some((&membership.incarnation).into()),
+                floor_ms: self.keys.raise_floor(wall_ms()),
             };
             let kind = record::Kind::Mark(mark);
-            let decided = self.ledgers.submit(seat.shard, kind, DECIDE_WAIT).await;
-            // A mark that was not decided is made up for by the next one.
+            let decided = self
+                .ledgers
+                .submit(membership.shard, kind, DECIDE_TIMEOUT)
+                .await;
+            // The next mark replaces one that was not decided.
             if let Ok(fate::Kind::Rejected(rejected)) = decided {
-                seat.note_rejection(rejected.reason());
+                membership.on_rejection(rejected.reason());
             }
         }
     }
 }
 
-/// The wall clock in microseconds, for a new epoch.
+/// Wall clock time in microseconds, used as a new epoch.
 fn wall_micros() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -19,7 +19,7 @@
 use crate::intent::Intents;
 use crate::keys::Keys;
 use crate::ledgers::Ledgers;
-use crate::members::Members;
+use crate::members::Memberships;
 use crate::peers::Peers;
 use crate::reader::ReadOptions;
 use crate::settings::Settings;
@@ -40,7 +40,7 @@
     /// Connections to the ledgers.
     pub ledgers: Arc<Ledgers>,
     /// Memberships of the budget streams.
-    pub members: Arc<Members>,
+    pub members: Arc<Memberships>,
     /// Starts the claimers of accounts.
     pub claimers: Claimers,
     /// Request keys in use.
--- a/crates/router/src/pings.rs
+++ b/crates/router/src/pings.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::config::ConfigView;
-use crate::freshness::{Pong, Rule};
+use crate::freshness::{FreshnessPolicy, Pong};
 use crate::ledgers::{Ledger, Ledgers};
 
 /// Time between two rounds of pings.
@@ -28,11 +28,11 @@
 
 /// Returns the freshness rule of a configuration that counts as stale at an age over `stale`.
 #[must_use]
-pub fn rule(stale: Duration) -> Rule {
-    Rule {
-        stale: Micros::try_from(stale.as_micros()).unwrap_or(Micros::MAX),
-        pong: PONG_VALIDITY_MICROS,
-        out: LOG_DOWN_MICROS,
+pub fn rule(stale: Duration) -> FreshnessPolicy {
+    FreshnessPolicy {
+        max_age: Micros::try_from(stale.as_micros()).unwrap_or(Micros::MAX),
+        pong_validity: PONG_VALIDITY_MICROS,
+        outage_age: LOG_DOWN_MICROS,
     }
 }
 
@@ -76,9 +76,9 @@
     };
     let age = pong.log_age_ms;
     let pong = Pong {
-        asked,
-        got: view.now(),
+        sent_at: asked,
+        received_at: view.now(),
         log_age: (age < NO_CONTACT_MS).then(|| age * MICROS_PER_MS),
     };
-    view.hear(index, pong);
+    view.on_pong(index, pong);
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -131,7 +131,7 @@
     }
 
     async fn try_peer(self, address: SocketAddr) -> PeerResult {
-        let left = self.call.left();
+        let left = self.call.time_left();
         if left.is_zero() {
             return PeerResult::NotRun;
         }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -21,11 +21,11 @@
 use crate::admit::admit;
 use crate::auth::authenticate;
 use crate::call::{Call, Work};
-use crate::charge::{Carrier, Cost};
+use crate::charge::{ChargeGuard, Cost};
 use crate::dispatch::Attempt;
 use crate::history::{CompletedRun, KeyStatus, digest};
-use crate::intent::{Spent, lost};
-use crate::members::Stay;
+use crate::intent::{KeyOutcome, lost};
+use crate::members::WorkGuard;
 use crate::node::Node;
 use crate::record::{self, Record};
 use crate::relay::RelayResult;
@@ -115,7 +115,7 @@
         let free = async {
             // The intent is abandoned when the task ends.
             let _ended = task.await;
-            node.intents.freed(workspace, key).await;
+            node.intents.wait_abandoned(workspace, key).await;
         };
         let _late = timeout(limit, free).await;
     }
@@ -140,7 +140,7 @@
 #[derive(Debug)]
 pub struct HeldQuota {
     /// Keeps the membership in use for the request.
-    pub seat: Stay,
+    pub seat: WorkGuard,
     /// Reserved quota, until a dispatch takes it over.
     pub reservation: Reservation,
 }
@@ -162,8 +162,8 @@
     }
     match previous_outcome(&node, &call) {
         None => {}
-        Some(Spent::Dispatched) => return send_reply(reply, Reply::Refused(lost(false))),
-        Some(Spent::Abandoned) => {
+        Some(KeyOutcome::Dispatched) => return send_reply(reply, Reply::Refused(lost(false))),
+        Some(KeyOutcome::Abandoned) => {
             record.mark_passed();
             let relayer = relay::Relayer {
                 node: &node,
@@ -187,7 +187,7 @@
     };
     let (seat, rights) = held.map(|held| (held.seat, held.reservation)).unzip();
     let mut attempt = Attempt {
-        rights,
+        reservation: rights,
         past: is_run.then(|| node.history.begin(&call.key_use, digest)),
         ..Attempt::default()
     };
@@ -200,7 +200,7 @@
         }
         let won = node
             .intents
-            .win(seat, &call.key_use, &call.budget, call.left())
+            .win(seat, &call.key_use, &call.budget, call.time_left())
             .await;
         match won {
             Ok(intent) => attempt.intent = Some(intent),
@@ -228,11 +228,11 @@
 }
 
 /// Returns what this process did earlier with a non-idempotent request of the same key.
-fn previous_outcome(node: &Node, call: &Call) -> Option<Spent> {
+fn previous_outcome(node: &Node, call: &Call) -> Option<KeyOutcome> {
     if !call.once {
         return None;
     }
-    node.intents.spent(&call.key_use)
+    node.intents.outcome(&call.key_use)
 }
 
 fn abandoned() -> Refusal {
@@ -296,8 +296,8 @@
     if call.bound == 0 && !call.once {
         return Ok(None);
     }
-    let joined = node.members.seat(&call.budget);
-    let Some(seat) = joined.and_then(|seat| seat.enter()) else {
+    let joined = node.members.find(&call.budget);
+    let Some(seat) = joined.and_then(|seat| seat.begin_work()) else {
         return Err(no_membership());
     };
     let account = seat.open(&call.budget, &node.claimers);
@@ -308,8 +308,8 @@
         has_log: !node.config.is_log_silent(),
     };
     let reservation = match phase {
-        Phase::First => account.obtain(call.bound, policy, !call.relayed).await?,
-        Phase::AfterRelay => account.obtain_here(call.bound, policy).await?,
+        Phase::First => account.reserve(call.bound, policy, !call.relayed).await?,
+        Phase::AfterRelay => account.reserve_locally(call.bound, policy).await?,
     };
     if seat.is_retired() {
         // Retired while waiting: quota of a retired membership is quarantined and must not be used.
@@ -334,20 +334,20 @@
     /// The request.
     pub call: Call,
     /// Membership that holds its quota; `None` if the request is free.
-    pub seat: Option<Stay>,
+    pub seat: Option<WorkGuard>,
     /// Quota, intent and the dispatches so far.
     pub attempt: Attempt,
     /// Log record; dropped once its line is written.
     pub record: Weak<Record>,
     /// The submitted charge, which is followed up once the run is dropped.
-    pub carrier: Option<Carrier>,
+    pub carrier: Option<ChargeGuard>,
 }
 
 impl Run {
     /// Charges `tokens` once, and returns the charge of the key, by this run or an earlier one.
     /// Waits until the charge is stored in another failure domain or the wait times out.
     pub async fn charge(&mut self, tokens: Tokens) -> Tokens {
-        let (Some(seat), Some(quota)) = (&self.seat, self.attempt.rights.take()) else {
+        let (Some(seat), Some(quota)) = (&self.seat, self.attempt.reservation.take()) else {
             return 0;
         };
         let cost = self.call.cost(tokens);
@@ -365,7 +365,7 @@
             record.charge(charged);
         }
         if let Some(account) = seat.find(&self.call.budget) {
-            account.freed();
+            account.on_released();
         }
         charged
     }
--- a/crates/router/src/settle_late.rs
+++ b/crates/router/src/settle_late.rs
@@ -68,7 +68,7 @@
     }
     let tokens = usage.unwrap_or(interrupted.seen);
     let cost = swiftlink_types::cost(tokens, price).min(bound);
-    let (Some(seat), Some(quota)) = (seat, attempt.rights) else {
+    let (Some(seat), Some(quota)) = (seat, attempt.reservation) else {
         return;
     };
     if cost > 0 {
--- a/crates/router/tests/health.rs
+++ b/crates/router/tests/health.rs
@@ -1,9 +1,9 @@
-//! What keeps a router from taking work.
+//! Conditions that keep a router from accepting work.
 
 use swiftlink_router::freshness::Trust;
-use swiftlink_router::health::{Facts, Trouble};
+use swiftlink_router::health::{HealthInputs, HealthIssue};
 
-const WELL: Facts = Facts {
+const HEALTHY: HealthInputs = HealthInputs {
     stopping: false,
     retired: false,
     trust: Trust::Current,
@@ -13,53 +13,65 @@
 };
 
 #[test]
-fn a_router_that_serves_has_no_trouble() {
-    assert_eq!(WELL.troubles(), []);
-    let out = Facts {
-        trust: Trust::LogOut,
-        ..WELL
+fn a_healthy_router_has_no_issues() {
+    assert_eq!(HEALTHY.issues(), []);
+    let outage = HealthInputs {
+        trust: Trust::LogUnavailable,
+        ..HEALTHY
     };
-    assert_eq!(out.troubles(), [], "it serves from the rights it holds");
+    assert_eq!(outage.issues(), [], "it serves from the quota it holds");
 }
 
 #[test]
-fn each_trouble_is_told_and_the_worst_first() {
+fn each_issue_is_reported_and_the_worst_first() {
     let cases = [
         (
-            Facts {
+            HealthInputs {
                 stopping: true,
-                ..WELL
+                ..HEALTHY
             },
-            Trouble::Stopping,
+            HealthIssue::Stopping,
         ),
         (
-            Facts {
+            HealthInputs {
                 retired: true,
-                ..WELL
+                ..HEALTHY
             },
-            Trouble::DeclaredGone,
+            HealthIssue::DeclaredGone,
         ),
         (
-            Facts {
+            HealthInputs {
                 trust: Trust::None,
-                ..WELL
+                ..HEALTHY
             },
-            Trouble::NoConfiguration,
+            HealthIssue::NoConfiguration,
         ),
         (
-            Facts {
+            HealthInputs {
                 trust: Trust::Stale,
-                ..WELL
+                ..HEALTHY
             },
-            Trouble::Stale,
+            HealthIssue::Stale,
+        ),
+        (
+            HealthInputs {
+                stuck: 1,
+                ..HEALTHY
+            },
+            HealthIssue::Stuck,
+        ),
+        (
+            HealthInputs {
+                joined: 3,
+                ..HEALTHY
+            },
+            HealthIssue::NotJoined,
         ),
-        (Facts { stuck: 1, ..WELL }, Trouble::Stuck),
-        (Facts { joined: 3, ..WELL }, Trouble::NotJoined),
     ];
-    for (facts, trouble) in cases {
-        assert_eq!(facts.troubles(), [trouble]);
+    for (inputs, issue) in cases {
+        assert_eq!(inputs.issues(), [issue]);
     }
-    let all = Facts {
+    let all = HealthInputs {
         stopping: true,
         retired: true,
         trust: Trust::Stale,
@@ -68,20 +80,20 @@
         shards: 4,
     };
     let expected = [
-        Trouble::Stopping,
-        Trouble::DeclaredGone,
-        Trouble::Stale,
-        Trouble::Stuck,
-        Trouble::NotJoined,
+        HealthIssue::Stopping,
+        HealthIssue::DeclaredGone,
+        HealthIssue::Stale,
+        HealthIssue::Stuck,
+        HealthIssue::NotJoined,
     ];
-    assert_eq!(all.troubles(), expected);
+    assert_eq!(all.issues(), expected);
 }
 
 #[test]
-fn a_balancer_sends_callers_also_to_a_router_that_has_yet_to_join() {
-    let kept: Vec<_> = Trouble::ALL
+fn a_router_that_has_not_joined_yet_stays_ready() {
+    let kept: Vec<_> = HealthIssue::ALL
         .into_iter()
-        .filter(|trouble| !trouble.turns_away())
+        .filter(|issue| !issue.makes_unready())
         .collect();
-    assert_eq!(kept, [Trouble::NotJoined]);
+    assert_eq!(kept, [HealthIssue::NotJoined]);
 }
