--- a/crates/bench/src/agenda.rs
+++ b/crates/bench/src/agenda.rs
@@ -1,11 +1,11 @@
-//! Events in virtual time.
+//! A priority queue of events in virtual time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use swiftlink_types::Micros;
 
-/// Events to come, soonest first; of equal times the one put first.
+/// Pending events, earliest first; events with equal times keep insertion order.
 #[derive(Debug)]
 pub struct Agenda<T> {
     heap: BinaryHeap<Reverse<Item<T>>>,
@@ -20,7 +20,7 @@
 }
 
 impl<T> Agenda<T> {
-    /// No events.
+    /// Creates an empty agenda.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -29,14 +29,14 @@
         }
     }
 
-    /// Puts an event at a time.
+    /// Schedules an event at the given time.
     pub fn put(&mut self, at: Micros, event: T) {
         let number = self.count;
         self.count += 1;
         self.heap.push(Reverse(Item { at, number, event }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
         let Reverse(item) = self.heap.pop()?;
         Some((item.at, item.event))
--- a/crates/bench/src/cost/config.rs
+++ b/crates/bench/src/cost/config.rs
@@ -1,4 +1,4 @@
-//! The resource fold at the letter's size: bytes, and time for each change.
+//! The resource fold at full scale: bytes, and time of each change.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 use super::sizes;
 use crate::row::Rows;
 
-/// Budgets for each workspace: 11,000 of 26,000.
+/// Budgets per workspace, as a ratio: 11,000 budgets to 26,000 workspaces.
 const BUDGETS: (usize, usize) = (11, 26);
-/// Backend servers, at all sizes.
+/// Backend servers, the same at every size.
 const SERVERS: usize = 600;
-/// Changes that are timed.
+/// Number of timed changes.
 const CHANGES: usize = 50;
-/// Looks that are timed in one round.
+/// Timed scans per round.
 const SCANS: usize = 50;
-/// Changes in one set while the state is built.
+/// Changes per change set while the state is built.
 const SET: usize = 500;
 
 pub(super) fn run(quick: bool, rows: &mut Rows) {
@@ -82,8 +82,8 @@
     );
 }
 
-/// Time of one look for the top-ups of a budget, as a router's claimer makes it each
-/// time that it looks at its demand.
+/// Time of one scan (µs) for the top-ups of a budget. A router's claimer makes this
+/// scan each time it evaluates its demand.
 fn scan_us(fold: &Fold) -> f64 {
     let config = fold.config();
     let scan = || {
@@ -94,8 +94,8 @@
     cost(SCANS, scan).nanos / 1e3
 }
 
-/// Mean time of a change to one workspace. A router keeps the version before in use,
-/// so that the fold works on a copy.
+/// Mean time (ms) of a change to one workspace. A router keeps the previous version
+/// in use, so the fold works on a copy.
 fn change_ms(fold: &mut Fold, size: usize, in_use: bool) -> f64 {
     let mut kept = None;
     let mut total = 0.0;
--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -1,4 +1,4 @@
-//! One admission and one routing decision at the letter's size.
+//! Cost of one admission and one routing decision at full scale.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use crate::draw::{below, generator};
 use crate::row::Rows;
 
-/// Size of the letter.
+/// Size of the full-scale deployment.
 const BUDGETS: usize = 11_000;
 const WORKSPACES: usize = 26_000;
 const RUNNERS: usize = 600;
-/// Runners that a router uses by default.
+/// Runners in a router's subset, by default.
 const SUBSET: usize = 32;
-/// Calls in one round.
+/// Calls per round.
 const CALLS: usize = 200_000;
 
 pub(super) fn run(seed: u64, quick: bool, rows: &mut Rows) {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Workspace to budget, reservation, settlement.
+/// Measures the lookup of a workspace's budget, the reservation and the settlement.
 fn admission(seed: u64, calls: usize) -> Cost {
     let budgets: Vec<BudgetName> = (0..BUDGETS).map(|n| format!("budget-{n}").into()).collect();
     let grants: HashMap<BudgetName, Arc<Grant>> = budgets
@@ -83,7 +83,7 @@
     })
 }
 
-/// One entry through the queue, while `waiting` others wait.
+/// Measures the passage of one entry through the queue while `waiting` others wait.
 fn queue(waiting: usize, calls: usize) -> Cost {
     const SERVICE: Micros = 600_000;
     let classes: Vec<ClassName> = (0..3).map(|n| format!("class-{n}").into()).collect();
@@ -131,7 +131,7 @@
     })
 }
 
-/// One look of a sizer at its demand, as for each budget in use twice a second.
+/// Measures one evaluation by a sizer, which runs twice a second per budget in use.
 fn sizer(calls: usize) -> Cost {
     let mut sizer = DemandSizer::new(SizerPolicy::default());
     let grant = Arc::new(Grant::new());
--- a/crates/bench/src/cost/folds.rs
+++ b/crates/bench/src/cost/folds.rs
@@ -1,4 +1,4 @@
-//! The budget fold: bytes and time for each budget, router and key.
+//! The budget fold: bytes and time per budget, router and key.
 
 use std::hint::black_box;
 
@@ -14,11 +14,11 @@
 use crate::draw::{below, generator};
 use crate::row::Rows;
 
-/// Charges in one batch.
+/// Charges per batch.
 const BATCH: usize = 100;
-/// Budgets that each router holds rights on, in the slope over routers.
+/// Budgets on which each router holds quota, in the slope over routers.
 const GRANTS: usize = 32;
-/// Tokens that keep all rights ample.
+/// A top-up (tokens) large enough that quota never runs out.
 const AMPLE: u64 = 1 << 50;
 
 pub(super) fn run(seed: u64, quick: bool, rows: &mut Rows) {
@@ -39,7 +39,7 @@
     charges(&keys, rows);
 }
 
-/// Adds bytes, snapshot and times at each size, and the slopes between them.
+/// Reports bytes, snapshot size and times at each size, and the slopes over the sizes.
 fn slope(name: &str, sizes: &[usize; 3], rows: &mut Rows, make: impl Fn(usize) -> Fold) {
     let mut bytes = Vec::new();
     let mut snapshot = Vec::new();
@@ -68,7 +68,7 @@
     rows.add(name, "slope", "restore_ms", line(&restore).0);
 }
 
-/// Time of one charge, decode of the batch included, with so many keys remembered.
+/// Reports the time of one charge, batch decoding included, by number of stored keys.
 fn charges(sizes: &[usize; 3], rows: &mut Rows) {
     for size in sizes {
         let mut fold = build(100, 8, 100, 0);
@@ -98,7 +98,7 @@
     }
 }
 
-/// A fold with budgets, routers and grants of each router.
+/// Builds a fold with `grants` grants for each router.
 fn build(budgets: usize, routers: usize, grants: usize, seed: u64) -> Fold {
     let mut fold = Fold::default();
     let mut rng = generator(seed, 3);
@@ -147,7 +147,7 @@
     }
 }
 
-/// Encoded batches of charges by routers in turn.
+/// Encodes batches of charges, assigned to the routers round-robin.
 fn batches(first: usize, count: usize, routers: usize, budgets: usize) -> Vec<Vec<u8>> {
     let mut list = Vec::new();
     for start in (first..first + count).step_by(BATCH) {
--- a/crates/bench/src/cost/meter.rs
+++ b/crates/bench/src/cost/meter.rs
@@ -1,4 +1,4 @@
-//! Clock, allocation counts and slopes.
+//! Timing, allocation counts and linear fits.
 
 use std::alloc::System;
 use std::hint::black_box;
@@ -6,13 +6,13 @@
 
 use stats_alloc::StatsAlloc;
 
-/// The allocator that counts.
+/// The system allocator with counters.
 pub type Allocator = StatsAlloc<System>;
 
-/// The counting allocator, to be made the global one by the program.
+/// The counting allocator, which the program installs as its global allocator.
 pub use stats_alloc::INSTRUMENTED_SYSTEM as COUNTING;
 
-/// Rounds of which the median counts.
+/// Rounds, of which the median is reported.
 const ROUNDS: usize = 5;
 
 /// Cost of one operation.
@@ -22,7 +22,7 @@
     pub(super) allocations: Option<f64>,
 }
 
-/// Median cost of `act` over some rounds of `count` calls.
+/// Measures the median cost of `act` over several rounds of `count` calls.
 pub(super) fn cost<T>(count: usize, mut act: impl FnMut() -> T) -> Cost {
     for _ in 0..count / 4 {
         black_box(act());
@@ -45,7 +45,7 @@
     }
 }
 
-/// Time of one call (s) and its result.
+/// Returns the time of one call (s) and its result.
 pub(super) fn timed<T>(act: impl FnOnce() -> T) -> (f64, T) {
     let start = Instant::now();
     let result = act();
@@ -62,7 +62,7 @@
     Some(grown - stats.bytes_deallocated as f64)
 }
 
-/// Bytes that `make` leaves in use, and what it made.
+/// Returns the heap bytes that the result of `make` occupies, and the result.
 pub(super) fn held<T>(make: impl FnOnce() -> T) -> (Option<f64>, T) {
     let before = in_use();
     let made = make();
@@ -70,7 +70,7 @@
     (bytes, made)
 }
 
-/// Slope and height at 0 of the straight line nearest to the points.
+/// Fits a line to the points; returns its slope and its intercept.
 pub(super) fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/crates/bench/src/cost/mod.rs
+++ b/crates/bench/src/cost/mod.rs
@@ -1,6 +1,6 @@
-//! Time, allocations and bytes of the decisions and folds on this machine.
+//! Time, allocations and memory of the decisions and folds on this machine.
 //!
-//! Unlike the other drivers' rows these differ from run to run. Bytes and
+//! Unlike the rows of the other drivers, these differ between runs. Bytes and
 //! allocations are counted by the allocator of `swiftlink-bench`; in a program
 //! without it they are left out.
 
--- a/crates/bench/src/cost/records.rs
+++ b/crates/bench/src/cost/records.rs
@@ -1,4 +1,4 @@
-//! Bytes of the records that the letter's traffic is made of.
+//! Sizes of the records and messages that make up the fleet's traffic.
 
 use prost::Message;
 use swiftlink_types::RequestKey;
@@ -8,12 +8,12 @@
 
 use crate::row::Rows;
 
-/// A time in ms since 1970, for keys of ordinary size.
+/// A time in ms since the Unix epoch that gives keys of realistic size.
 const NOW_MS: u64 = 1_790_000_000_000;
 
-/// One VM in the answer of the platform's list.
+/// One VM in the response of the platform's VM list.
 const LISTED: &str = r#"{"name":"entry-bilbao-123","domain":"deusto-hall","state":"live"},"#;
-/// One poll of a runner's load: the request's head, then the answer.
+/// One poll of a runner's load: the request head, then the response.
 const POLL: &str = concat!(
     "GET /load HTTP/1.1\r\nhost: 10.20.30.40:8000\r\n\r\n",
     "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 84\r\n",
@@ -102,7 +102,7 @@
     })
 }
 
-/// What a ledger tells of a budget; routers read that of each budget in use.
+/// A ledger's view of a budget; routers read it for each budget in use.
 fn budget_view(top_ups: usize) -> link::BudgetView {
     let ids = (0..top_ups).map(|number| format!("topup-2026-{number:05}"));
     link::BudgetView {
--- a/crates/bench/src/draw.rs
+++ b/crates/bench/src/draw.rs
@@ -9,31 +9,31 @@
 /// Microseconds in a millisecond.
 pub const MS: Micros = 1_000;
 
-/// A generator for one part of a run: equal seeds and parts draw equal values.
+/// Creates the generator for one part of a run; equal seeds and parts give equal values.
 #[must_use]
 pub fn generator(seed: u64, part: u64) -> Pcg64Mcg {
     let wide = u128::from(seed) << 64 | u128::from(part.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     Pcg64Mcg::new(wide)
 }
 
-/// A value of the unit interval, 1 left out.
+/// Draws a value from the half-open unit interval `[0, 1)`.
 pub fn unit(rng: &mut impl Rng) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// A whole value below `len`.
+/// Draws an integer below `len`.
 pub fn below(rng: &mut impl Rng, len: u64) -> u64 {
     ((u128::from(rng.next_u64()) * u128::from(len)) >> 64) as u64
 }
 
-/// Time to the next event of a Poisson process of `rate` a second.
+/// Draws the time to the next event of a Poisson process with `rate` events a second.
 pub fn gap(rng: &mut impl Rng, rate: f64) -> Micros {
     let wait = -(1.0 - unit(rng)).ln() / rate;
     (wait * SEC as f64) as Micros
 }
 
-/// A time around `mean` (µs): the product of it and a factor of mean 1, log-normal
-/// with the given spread.
+/// Draws a time: `mean` (µs) multiplied by a log-normal factor of mean 1 with
+/// the given spread.
 pub fn around(rng: &mut impl Rng, mean: f64, spread: f64) -> Micros {
     let radius = (-2.0 * (1.0 - unit(rng)).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * unit(rng)).cos();
@@ -41,7 +41,7 @@
     (mean * factor).max(1.0) as Micros
 }
 
-/// An index drawn by weight.
+/// Draws an index with probability proportional to its weight.
 pub fn weighted(rng: &mut impl Rng, weights: &[f64]) -> usize {
     let total: f64 = weights.iter().sum();
     let mut left = unit(rng) * total;
@@ -54,7 +54,7 @@
     weights.len() - 1
 }
 
-/// A quantile of sorted times.
+/// Returns a quantile of sorted times.
 #[must_use]
 pub fn quantile_of(sorted: &[Micros], quantile: f64) -> Micros {
     let rank = (sorted.len() as f64 * quantile).ceil() as usize;
--- a/crates/bench/src/grants/counter.rs
+++ b/crates/bench/src/grants/counter.rs
@@ -1,4 +1,4 @@
-//! The all-seeing counter: one budget, every request, no distance.
+//! The global counter: an ideal limiter that sees every request of the budget at once.
 
 use swiftlink_types::{Micros, Tokens};
 
@@ -6,13 +6,13 @@
 use crate::agenda::Agenda;
 use crate::draw::SEC;
 
-/// Time after the counter's last request that is still counted.
-const AFTER: Micros = 10 * SEC;
+/// Time after the last request admitted by the counter that is still counted.
+const COUNT_MARGIN: Micros = 10 * SEC;
 
-/// What the counter made of the demand.
+/// Result of the global counter for the demand.
 #[derive(Debug)]
 pub(crate) struct Counter {
-    /// Whether it took each request.
+    /// Whether it admitted each request.
     pub(crate) taken: Vec<bool>,
     /// The part of the run that is counted.
     pub(crate) counted: Window,
@@ -24,7 +24,7 @@
     End(usize),
 }
 
-/// Runs the counter over the demand.
+/// Runs the global counter over the demand.
 pub(crate) fn count(setup: &Setup, arrivals: &[Arrival]) -> Counter {
     let mut agenda = Agenda::new();
     for (at, amount) in &setup.top_ups {
@@ -69,7 +69,7 @@
         },
         Counted::Tail(_) => Window {
             from: from.unwrap_or(0),
-            until: last + AFTER,
+            until: last + COUNT_MARGIN,
         },
     };
     Counter { taken, counted }
--- a/crates/bench/src/grants/event.rs
+++ b/crates/bench/src/grants/event.rs
@@ -1,10 +1,10 @@
-//! The events of a run.
+//! Events of a simulation run.
 
 use swiftlink_types::{Micros, Tokens};
 
-use super::ledger::Heard;
+use super::ledger::LedgerReply;
 
-/// What happens in a run.
+/// An event of a simulation run.
 #[derive(Debug)]
 pub(super) enum Event {
     TopUp(usize),
@@ -14,17 +14,17 @@
     Poll(usize),
     Deadline { request: usize, holder: usize },
     Silence { holder: usize, since: Micros },
-    Submit(usize, Sent),
+    Submit(usize, Submission),
     Flush,
     Commit,
-    Heard(usize, Heard),
+    LedgerReply(usize, LedgerReply),
     Relay(Relay),
     Sample,
 }
 
-/// A record on its way to the ledger.
+/// A record in flight to the ledger.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Sent {
+pub(super) enum Submission {
     Claim {
         seq: u64,
         need: Tokens,
@@ -34,7 +34,7 @@
     Charge(usize),
 }
 
-/// A request on its way to one of the peers that it may go to.
+/// A relayed request in flight to one of its candidate peers.
 #[derive(Clone, Debug)]
 pub(super) struct Relay {
     pub(super) request: usize,
--- a/crates/bench/src/grants/holder.rs
+++ b/crates/bench/src/grants/holder.rs
@@ -1,4 +1,4 @@
-//! One holder: its grant, its sizer and the requests that wait for rights.
+//! A holder: its grant, its sizer and the requests that wait for quota.
 
 use std::time::Duration;
 
@@ -12,64 +12,64 @@
 use super::ledger::holder_of;
 use crate::draw::MS;
 
-/// Time that a relay is expected to add.
-const DETOUR: Duration = Duration::from_millis(5);
-/// Time for which the answer to a claim stands.
-const PAUSE: Micros = 100 * MS;
-/// Expected time of a claim before one has been timed.
-const FIRST_CLAIM: Micros = 20 * MS;
+/// Expected latency of a relay.
+const RELAY_DELAY: Duration = Duration::from_millis(5);
+/// Time for which the result of a claim stays valid.
+const CLAIM_TTL: Micros = 100 * MS;
+/// Expected latency of a claim until one has been measured.
+const INITIAL_CLAIM_TIME: Micros = 20 * MS;
 
-/// What the last claim told.
+/// Result of the last claim.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct ClaimResult {
     pub(crate) at: Option<Micros>,
     pub(crate) is_out: bool,
     pub(crate) free: Tokens,
     elsewhere: Tokens,
-    /// The largest other holders.
+    /// The other holders with the most quota.
     holders: Vec<(usize, Tokens)>,
 }
 
-/// A request that waits for rights.
+/// A request that waits for quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiter {
     pub(crate) request: usize,
     pub(crate) cost: Tokens,
     pub(crate) since: Micros,
     pub(crate) until: Micros,
-    /// Whether it may go to another holder.
+    /// Whether it may be relayed to another holder.
     pub(crate) may_relay: bool,
 }
 
-/// What a claim is waiting for.
+/// The claim or return that awaits a reply.
 #[derive(Debug)]
 pub(crate) struct Pending {
     pub(crate) since: Micros,
 }
 
-/// A holder of rights on the budget.
+/// A holder of quota on the budget.
 #[derive(Debug)]
 pub(crate) struct Holder {
     pub(crate) grant: Grant,
     pub(crate) sizing: Box<dyn Sizing>,
-    pub(crate) news: News,
+    pub(crate) news: ClaimResult,
     pub(crate) waiters: Vec<Waiter>,
     pub(crate) pending: Option<Pending>,
     pub(crate) seq: u64,
     pub(crate) low: Tokens,
     pub(crate) sharers: u32,
     pub(crate) topped_up: Tokens,
-    /// When it looks at its demand again.
+    /// Time of the next demand evaluation.
     pub(crate) poll_at: Micros,
     claim_time: Micros,
 }
 
-/// What a holder does next.
+/// The next action of a holder.
 #[derive(Debug)]
-pub(crate) enum Move {
+pub(crate) enum Action {
     Claim(ClaimSize),
     Return(Tokens),
-    /// Nothing; whether a request waits for rights.
+    /// Nothing; whether a request waits for quota.
     Nothing {
         is_short: bool,
     },
@@ -80,7 +80,7 @@
         Self {
             grant: Grant::new(),
             sizing,
-            news: News::default(),
+            news: ClaimResult::default(),
             waiters: Vec::new(),
             pending: None,
             seq: 0,
@@ -88,12 +88,12 @@
             sharers: 1,
             topped_up: 0,
             poll_at: 0,
-            claim_time: FIRST_CLAIM,
+            claim_time: INITIAL_CLAIM_TIME,
         }
     }
 
-    /// Looks at the demand, as the router's claimer does.
-    pub(crate) fn poll(&mut self, now: Micros) -> Move {
+    /// Evaluates the demand, as the router's claimer does.
+    pub(crate) fn poll(&mut self, now: Micros) -> Action {
         let available = self.grant.available();
         self.sizing.observe(now, self.grant.demand());
         let waiting = Waiting {
@@ -101,17 +101,17 @@
             total_cost: self.waiters.iter().map(|w| w.cost).sum(),
         };
         if let Some(size) = self.sizing.claim(now, available, waiting) {
-            return Move::Claim(size);
+            return Action::Claim(size);
         }
         let is_short = waiting.min_cost > available;
         if !is_short && let Some(extra) = self.sizing.surplus(now, available) {
             let taken = self.grant.shrink(extra);
-            return Move::Return(taken);
+            return Action::Return(taken);
         }
-        Move::Nothing { is_short }
+        Action::Nothing { is_short }
     }
 
-    /// Takes the fate of a claim.
+    /// Applies the ledger's decision on a claim.
     pub(crate) fn on_claimed(&mut self, now: Micros, fate: &ClaimFate, credits: u64) {
         if let Some(pending) = self.pending.take() {
             let took = now - pending.since;
@@ -130,7 +130,7 @@
             let index = holder_of(holder.incarnation.as_ref()?)?;
             Some((index, holder.held))
         };
-        self.news = News {
+        self.news = ClaimResult {
             at: Some(now),
             is_out: false,
             free: fate.free,
@@ -139,14 +139,14 @@
         };
     }
 
-    /// The claim or return has had no answer for too long.
+    /// Handles the timeout of a claim or return.
     pub(crate) fn on_failed(&mut self, now: Micros) {
         self.sizing.on_failed(now);
         self.news.is_out = true;
         self.news.at = Some(now);
     }
 
-    /// What a request does that finds no rights; for a relay the holders to try.
+    /// Decides what to do with a request that lacks quota; a relay names the holders to try.
     pub(crate) fn decide(
         &self,
         now: Micros,
@@ -156,7 +156,7 @@
         let news = &self.news;
         let is_fresh = news
             .at
-            .is_some_and(|at| now - at <= PAUSE || at >= waiter.since);
+            .is_some_and(|at| now - at <= CLAIM_TTL || at >= waiter.since);
         let listed: &[(usize, Tokens)] = if waiter.may_relay { &news.holders } else { &[] };
         let holdings: Vec<HolderState> = listed.iter().map(|(_, held)| holding(*held)).collect();
         let own = self.grant.counters();
@@ -181,7 +181,7 @@
 fn holding(held: Tokens) -> HolderState {
     HolderState {
         held,
-        relay_time: DETOUR,
+        relay_time: RELAY_DELAY,
         is_reachable: true,
     }
 }
--- a/crates/bench/src/grants/ledger.rs
+++ b/crates/bench/src/grants/ledger.rs
@@ -1,4 +1,4 @@
-//! Group commits to the real fold of one budget.
+//! A ledger of one budget: group commits into the real budget fold.
 
 use swiftlink_budget::Fold;
 use swiftlink_types::{Micros, RequestKey, Tokens};
@@ -9,10 +9,10 @@
 
 /// Name of the budget.
 const BUDGET: &str = "budget";
-/// Start time of all holders.
+/// Epoch of all holders.
 const EPOCH: u64 = 1;
 
-/// Fold of the budget's stream, and the records that wait for the next append.
+/// The fold of the budget's stream, and the records queued for the next append.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     fold: Fold,
@@ -20,25 +20,25 @@
     serials: Vec<u64>,
     returned: Vec<Tokens>,
     seq: u64,
-    /// Appends made.
+    /// Number of appends.
     pub(crate) appends: u64,
-    /// Claims and returns among their records.
+    /// Number of claims and returns in the appended records.
     pub(crate) moves: u64,
-    /// Charges that the fold did not count.
+    /// Charges that the fold did not apply.
     pub(crate) void: u64,
 }
 
-/// What a holder hears of its record.
+/// The ledger's reply to a holder's record.
 #[derive(Debug)]
-pub(crate) enum Heard {
-    /// The fate of its claim.
+pub(crate) enum LedgerReply {
+    /// The decision on its claim.
     Claim(wire::ClaimFate),
     /// Its return was decided.
     Returned,
 }
 
 impl Ledger {
-    /// A ledger with `holders` joined.
+    /// Creates a ledger that `holders` holders have joined.
     pub(crate) fn new(holders: usize) -> Self {
         let mut ledger = Self {
             serials: vec![0; holders],
@@ -59,12 +59,12 @@
         ledger
     }
 
-    /// Whether records wait for an append.
+    /// Whether records are queued for an append.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Tokens paid in, as folded.
+    /// Tokens topped up, according to the fold.
     pub(crate) fn topped_up(&self) -> Tokens {
         self.fold.view(BUDGET).map_or(0, |view| view.topped_up)
     }
@@ -120,8 +120,8 @@
         self.pending.push((holder, Kind::Charges(record)));
     }
 
-    /// Appends and folds all that waits; answers who hears what.
-    pub(crate) fn commit(&mut self) -> Vec<(usize, Heard)> {
+    /// Appends and folds all queued records; returns the replies by holder.
+    pub(crate) fn commit(&mut self) -> Vec<(usize, LedgerReply)> {
         self.seq += 1;
         self.appends += 1;
         let pending = std::mem::take(&mut self.pending);
@@ -143,11 +143,11 @@
             match (&record.kind, fate.kind) {
                 (Some(Kind::Claim(_)), Some(wire::fate::Kind::Claim(fate))) => {
                     self.moves += 1;
-                    heard.push((holder, Heard::Claim(fate)));
+                    heard.push((holder, LedgerReply::Claim(fate)));
                 }
                 (Some(Kind::GiveBack(_)), _) => {
                     self.moves += 1;
-                    heard.push((holder, Heard::Returned));
+                    heard.push((holder, LedgerReply::Returned));
                 }
                 (Some(Kind::Charges(_)), Some(wire::fate::Kind::Charges(fate))) => {
                     let counted = wire::ChargeFate::Charged as i32;
@@ -161,7 +161,7 @@
     }
 }
 
-/// The holder that an incarnation names.
+/// Returns the holder that an incarnation names.
 pub(crate) fn holder_of(incarnation: &wire::Incarnation) -> Option<usize> {
     incarnation.vm.strip_prefix("vm-")?.parse().ok()
 }
@@ -173,7 +173,7 @@
     }
 }
 
-/// A UUIDv7 of the time and the request's number.
+/// Builds a UUIDv7 from the time and the request number.
 fn key(number: usize, now: Micros) -> Vec<u8> {
     let mut bytes = *RequestKey::generate(now / 1_000 + 1).as_bytes();
     bytes[8] = 0x80;
--- a/crates/bench/src/grants/mod.rs
+++ b/crates/bench/src/grants/mod.rs
@@ -1,8 +1,8 @@
-//! Grant sizing: what each policy refuses, strands and appends.
+//! Grant sizing: refusals, stranded tokens and appends of each policy.
 //!
 //! Drives the real budget fold, grants, sizers and shortfall decision. Requests
 //! arrive at holders of one budget; claims, returns and charges go through group
-//! commits to one fold. An all-seeing counter takes the same requests for comparison.
+//! commits to one fold. A global counter handles the same requests as the reference.
 
 mod counter;
 mod event;
--- a/crates/bench/src/grants/outcome.rs
+++ b/crates/bench/src/grants/outcome.rs
@@ -1,48 +1,48 @@
-//! What is counted in a run.
+//! Results of a run.
 
 use swiftlink_types::{Micros, Tokens};
 
 use super::setup::Setup;
 
-/// Counts of one side of a cut.
+/// Request counts on one side of a network partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Side {
-    /// Requests that the all-seeing counter took.
+    /// Requests that the global counter admitted.
     pub counter: u64,
-    /// Requests taken.
+    /// Requests admitted.
     pub taken: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Requests refused while the budget had enough for them, all rests together.
+    /// Requests refused while all holders together had enough tokens left for them.
     pub with_rest: u64,
-    /// Of these, requests that the all-seeing counter took.
+    /// Of these, the ones that the global counter admitted.
     pub false_refused: u64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Most tokens spent beyond what was paid in, at any moment.
+    /// Maximum over time of the tokens spent beyond the top-ups.
     pub overspend: Tokens,
-    /// Charges that the fold did not count.
+    /// Charges that the fold did not apply.
     pub void: u64,
-    /// Where nothing is cut.
+    /// Counts outside the partition.
     pub outside: Side,
-    /// In the domain that is cut off, during the cut.
+    /// Counts in the partitioned domain, during the partition.
     pub inside: Side,
     /// Requests that were relayed.
     pub relayed: u64,
-    /// Requests that came, counted or not.
+    /// Requests that arrived, counted or not.
     pub requests: u64,
-    /// Claims and returns.
+    /// Number of claims and returns.
     pub moves: u64,
-    /// Appends, with those of charges.
+    /// Number of appends, including those of charges.
     pub appends: u64,
-    /// Tokens held free at the holders, on average.
+    /// Mean of the unreserved tokens at the holders.
     pub held: f64,
-    /// Of these behind the cut while it lasts, on average.
+    /// Mean of the unreserved tokens in the partitioned domain, during the partition.
     pub held_cut: f64,
-    /// Tokens left free at the holders at the end of what is counted.
+    /// Unreserved tokens at the holders at the end of the counted window.
     pub left: Tokens,
 }
 
@@ -55,19 +55,19 @@
         self.false_refused += other.false_refused;
     }
 
-    /// False refusals as a share of what the all-seeing counter took.
+    /// False refusals as a share of the requests that the global counter admitted.
     #[must_use]
     pub fn false_share(&self) -> f64 {
         share(self.false_refused, self.counter)
     }
 
-    /// Refusals with enough left in all rests together, as a share of the same.
+    /// Refusals while all holders together had enough tokens, as a share of the same.
     #[must_use]
     pub fn rest_share(&self) -> f64 {
         share(self.with_rest, self.counter)
     }
 
-    /// What is missing against the all-seeing counter, as a share.
+    /// Shortfall of admitted requests against the global counter, as a share.
     #[must_use]
     pub fn missing_share(&self) -> f64 {
         share(self.counter.saturating_sub(self.taken), self.counter)
@@ -75,7 +75,7 @@
 }
 
 impl Outcome {
-    /// Adds the counts of another run; the most of what must be 0.
+    /// Adds the counts of another run; values that must be 0 take the maximum.
     pub(crate) fn add(&mut self, other: &Self) {
         self.overspend = self.overspend.max(other.overspend);
         self.void = self.void.max(other.void);
@@ -90,14 +90,14 @@
         self.left += other.left;
     }
 
-    /// Makes means of the sums of `runs` runs; shares need none.
+    /// Turns sums over `runs` runs into means; shares are independent of the number of runs.
     pub(crate) fn divide(&mut self, runs: u64) {
         self.held /= runs as f64;
         self.held_cut /= runs as f64;
         self.left /= runs;
     }
 
-    /// The side that a request belongs to.
+    /// Returns the side of the partition that a request belongs to.
     pub(crate) fn side(&mut self, setup: &Setup, holder: usize, at: Micros) -> &mut Side {
         if setup.is_cut(holder, at) {
             &mut self.inside
@@ -107,7 +107,7 @@
     }
 }
 
-/// Mean of samples taken in even steps.
+/// Mean of samples taken at equal intervals.
 #[derive(Debug, Default)]
 pub(crate) struct Average {
     sum: f64,
--- a/crates/bench/src/grants/scenario.rs
+++ b/crates/bench/src/grants/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios, and the rows that they give.
+//! Scenarios and their output rows.
 
 use swiftlink_types::{Micros, Tokens};
 
@@ -8,21 +8,21 @@
 use crate::draw::SEC;
 use crate::row::Rows;
 
-/// Requests a second at 8 holders, at their end of a budget, and at 300.
+/// Requests a second: with 8 holders, as a budget runs out, and with 300 holders.
 const RATE: f64 = 20.0;
 const RATE_TAIL: f64 = 100.0;
 const RATE_MANY: f64 = 300.0;
-/// Claims of the fixed-chunk policy: so many mean requests.
+/// Claim size of the fixed-chunk policy (tokens): 20 mean requests.
 const CHUNK: Tokens = 20 * MEAN_SPEND;
-/// Length of the faults.
-const FAULT: Micros = 600 * SEC;
-/// Time before a fault.
-const BEFORE: Micros = 300 * SEC;
-/// Time between top-ups.
+/// Duration of each fault.
+const FAULT_LENGTH: Micros = 600 * SEC;
+/// Start time of each fault.
+const FAULT_START: Micros = 300 * SEC;
+/// Interval between top-ups (s).
 const TOP_UP: u64 = 60;
-/// Seeds that each point of the curve is the mean of.
+/// Seeds averaged for each point of the curve.
 const CURVE_REPEATS: u64 = 4;
-/// Points of the curve: time held ahead (s), and rights held for each free token.
+/// Points of the curve: demand held ahead (s), and quota held per free token.
 const CURVE: [(u64, f64); 11] = [
     (2, 1.0),
     (5, 1.0),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs the fault scenarios over the settings between the two users' weights.
+/// Runs the fault scenarios over a range of settings that trade one user's needs for another's.
 pub fn ahead_curve(seed: u64, quick: bool, rows: &mut Rows) {
     let setups = [cut(quick), log_out(quick), tail(8, quick)];
     let repeats = if quick { 1 } else { CURVE_REPEATS };
@@ -57,7 +57,7 @@
             let label = format!("ahead={ahead}s,hold={hold}");
             let plan = Plan::demand(&label, ahead, hold, true);
             let mut sum = Outcome::default();
-            // What is held when a fault begins depends on the last claims: a mean of some.
+            // The quota held when a fault begins depends on the last claims, so average seeds.
             for repeat in 0..repeats {
                 let arrivals = arrivals(&setup, seed + repeat);
                 sum.add(&World::new(&setup, &plan, &arrivals).run());
@@ -124,7 +124,7 @@
     );
 }
 
-/// Somewhat uneven demand.
+/// Returns moderately uneven demand shares.
 fn uneven(holders: usize) -> Vec<f64> {
     (0..holders).map(|n| 1.0 + 0.1 * (n % 6) as f64).collect()
 }
@@ -133,7 +133,7 @@
     if holders > 8 { RATE_MANY } else { RATE }
 }
 
-/// `first` seconds of demand at the start and a minute's each minute.
+/// Tops up `first` seconds of demand at the start, then a minute's demand each minute.
 fn fed(rate: f64, first: u64, length: Micros) -> Vec<(Micros, Tokens)> {
     let mut list = vec![(0, Setup::demand(rate, first))];
     let minutes = length / (TOP_UP * SEC);
@@ -166,8 +166,8 @@
 fn fault(quick: bool) -> Window {
     let scale = if quick { 10 } else { 1 };
     Window {
-        from: BEFORE / scale,
-        until: (BEFORE + FAULT) / scale,
+        from: FAULT_START / scale,
+        until: (FAULT_START + FAULT_LENGTH) / scale,
     }
 }
 
@@ -189,7 +189,7 @@
     Setup {
         name: "grants-log-out",
         length,
-        // Paid in before: nothing reaches the log while it is out.
+        // Top up in advance: nothing reaches the log during its outage.
         top_ups: vec![(0, Setup::demand(RATE, 3_600))],
         out: Some(out),
         ..steady(8, quick)
--- a/crates/bench/src/grants/setup.rs
+++ b/crates/bench/src/grants/setup.rs
@@ -1,4 +1,4 @@
-//! What a run is given: demand, faults and the policy.
+//! Inputs of a run: demand, faults and the policy.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 
 use crate::draw::{SEC, around, below, gap, generator, weighted};
 
-/// Tokens of a prompt: least and range.
+/// Prompt tokens: minimum and range.
 const PROMPT: (Tokens, Tokens) = (50, 450);
-/// Most tokens of an answer, and the least share of it that is run.
-const ANSWER: Tokens = 512;
-const ANSWER_LEAST: Tokens = 64;
-/// Mean time of a run (µs) and its spread.
+/// Maximum and minimum tokens of an answer.
+const MAX_ANSWER: Tokens = 512;
+const MIN_ANSWER: Tokens = 64;
+/// Mean duration of a request (µs) and its spread.
 const RUN_TIME: f64 = 2e6;
 const RUN_SPREAD: f64 = 0.5;
-/// Tokens that a request spends on average, by the numbers above.
-pub const MEAN_SPEND: Tokens = PROMPT.0 + PROMPT.1 / 2 + (ANSWER_LEAST + ANSWER) / 2;
+/// Mean tokens spent per request, derived from the constants above.
+pub const MEAN_SPEND: Tokens = PROMPT.0 + PROMPT.1 / 2 + (MIN_ANSWER + MAX_ANSWER) / 2;
 
-/// A part of the run.
+/// A time window of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// First moment.
+    /// Inclusive start.
     pub from: Micros,
-    /// First moment after it.
+    /// Exclusive end.
     pub until: Micros,
 }
 
 impl Window {
-    /// Whether the moment lies in it.
+    /// Whether the time lies in the window.
     #[must_use]
     pub fn has(&self, at: Micros) -> bool {
         self.from <= at && at < self.until
@@ -38,10 +38,10 @@
 /// The part of the run that is counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Counted {
-    /// All of it.
+    /// The whole run.
     All,
-    /// From the moment at which the all-seeing counter has this share of the budget
-    /// left, to shortly after it has none.
+    /// From the time when the global counter has this share of the budget left, to
+    /// shortly after it has run out.
     Tail(f64),
 }
 
@@ -54,59 +54,59 @@
     pub weights: Vec<f64>,
     /// Failure domains; holder `n` is in domain `n % domains`.
     pub domains: usize,
-    /// Requests a second, all holders together.
+    /// Requests a second over all holders.
     pub rate: f64,
     /// Length of the run.
     pub length: Micros,
-    /// Tokens paid in, and when.
+    /// Top-ups: time and tokens.
     pub top_ups: Vec<(Micros, Tokens)>,
-    /// When domain 0 is cut from the log and from the other domains.
+    /// When domain 0 is partitioned from the log and from the other domains.
     pub cut: Option<Window>,
-    /// When the log is out.
+    /// When the log is unavailable.
     pub out: Option<Window>,
-    /// What is counted.
+    /// The part of the run that is counted.
     pub counted: Counted,
 }
 
 /// How claims are sized.
 #[derive(Clone, Copy, Debug)]
 pub enum Size {
-    /// All that is paid in, split evenly.
+    /// An even split of every top-up.
     Even,
     /// A fixed number of tokens.
     Chunk(Tokens),
-    /// By demand and by what is left.
+    /// By demand and by the remaining budget.
     Demand(SizerPolicy),
 }
 
 /// A policy under test.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Name in the output rows.
     pub name: String,
     /// How claims are sized.
     pub size: Size,
-    /// Whether requests without rights go to a holder that has some.
+    /// Whether requests without quota are relayed to a holder that has some.
     pub relay: bool,
-    /// Breaks the grants on purpose: each is credited so many times. 1 is right.
+    /// Fault injection: number of times each grant is credited. 1 is correct.
     pub credits: u64,
 }
 
 impl Plan {
-    /// A policy that sizes claims by demand.
+    /// Creates a policy that sizes claims by demand.
     #[must_use]
     pub fn demand(name: &str, ahead: u64, hold: f64, relay: bool) -> Self {
         let policy = SizerPolicy {
             ahead: Duration::from_secs(ahead),
             scarce_ratio: hold,
-            // As the router sets it: the setting `claim_pause_ms`.
+            // The router's value of the setting `claim_pause_ms`.
             retry_max: Duration::from_millis(100),
             ..SizerPolicy::default()
         };
         Self::new(name, Size::Demand(policy), relay)
     }
 
-    /// A policy.
+    /// Creates a policy.
     #[must_use]
     pub fn new(name: &str, size: Size, relay: bool) -> Self {
         Self {
@@ -129,19 +129,19 @@
 /// One request of the demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When it comes.
+    /// Arrival time.
     pub at: Micros,
-    /// The holder that it comes to.
+    /// The holder at which it arrives.
     pub holder: usize,
-    /// Bound of its cost, to be reserved.
+    /// Upper bound of its cost, which is reserved (tokens).
     pub cost: Tokens,
-    /// What it spends in the end.
+    /// Actual cost (tokens).
     pub spend: Tokens,
-    /// How long it runs.
+    /// Duration.
     pub time: Micros,
 }
 
-/// The demand of a run.
+/// Generates the demand of a run.
 #[must_use]
 pub fn arrivals(setup: &Setup, seed: u64) -> Vec<Arrival> {
     let mut rng = generator(seed, 1);
@@ -153,11 +153,11 @@
             return list;
         }
         let prompt = PROMPT.0 + below(&mut rng, PROMPT.1);
-        let answer = ANSWER_LEAST + below(&mut rng, ANSWER - ANSWER_LEAST);
+        let answer = MIN_ANSWER + below(&mut rng, MAX_ANSWER - MIN_ANSWER);
         list.push(Arrival {
             at,
             holder: weighted(&mut rng, &setup.weights),
-            cost: prompt + ANSWER,
+            cost: prompt + MAX_ANSWER,
             spend: prompt + answer,
             time: around(&mut rng, RUN_TIME, RUN_SPREAD),
         });
@@ -165,31 +165,31 @@
 }
 
 impl Setup {
-    /// Tokens that all holders spend in `secs` on average.
+    /// Mean tokens that `rate` requests a second spend in `secs` seconds.
     #[must_use]
     pub fn demand(rate: f64, secs: u64) -> Tokens {
         (rate * secs as f64) as Tokens * MEAN_SPEND
     }
 
-    /// The failure domain of a holder.
+    /// Returns the failure domain of a holder.
     #[must_use]
     pub fn domain(&self, holder: usize) -> usize {
         holder % self.domains
     }
 
-    /// Whether a holder is cut off at `now`.
+    /// Whether a holder is partitioned at `now`.
     #[must_use]
     pub fn is_cut(&self, holder: usize, now: Micros) -> bool {
         self.domain(holder) == 0 && self.cut.is_some_and(|cut| cut.has(now))
     }
 
-    /// Whether the log is out at `now`.
+    /// Whether the log is unavailable at `now`.
     #[must_use]
     pub fn is_out(&self, now: Micros) -> bool {
         self.out.is_some_and(|out| out.has(now))
     }
 
-    /// Whether a holder has heard of the log within the last 2.5 s.
+    /// Whether a holder has received a response of the log within the last 2.5 s.
     pub(crate) fn has_log(&self, holder: usize, now: Micros) -> bool {
         const SILENCE: Micros = 5 * SEC / 2;
         let then = now.saturating_sub(SILENCE);
--- a/crates/bench/src/grants/world.rs
+++ b/crates/bench/src/grants/world.rs
@@ -1,39 +1,39 @@
-//! The run: events in virtual time between holders and the ledger.
+//! The simulation: events in virtual time between holders and the ledger.
 
 use swiftlink_admission::ShortfallAction;
 use swiftlink_types::{Micros, RefusalKind, Tokens};
 
 use super::counter::{Counter, count};
-use super::event::{Event, Relay, Sent};
-use super::holder::{Holder, Move, Pending, Waiter};
-use super::ledger::Heard;
+use super::event::{Event, Relay, Submission};
+use super::holder::{Action, Holder, Pending, Waiter};
 use super::ledger::Ledger;
+use super::ledger::LedgerReply;
 use super::outcome::{Average, Outcome};
 use super::setup::{Arrival, Plan, Setup};
 use crate::agenda::Agenda;
 use crate::draw::{MS, SEC};
 
-/// One-way time between a holder and the ledger.
-const HOP: Micros = MS;
-/// Least time between appends, and the time of one.
+/// One-way latency between a holder and the ledger.
+const HOP_DELAY: Micros = MS;
+/// Minimum interval between appends, and the latency of one.
 const BATCH: Micros = 5 * MS;
 const APPEND: Micros = 10 * MS;
-/// Longest wait for rights.
-const CLAIM_WAIT: Micros = SEC;
-/// Time without an answer after which a claim counts as failed, and then each time.
-const SUBMIT_WAIT: Micros = SEC;
-/// Time between looks at the demand.
-const TICK: Micros = 500 * MS;
-/// The same while a request waits that the last answer stands for.
-const TOLD_PAUSE: Micros = 5 * MS;
-/// Time until a holder hears of a top-up.
-const NEWS_LAG: Micros = SEC;
-/// Time until a connection that can't be made counts as failed.
-const CONNECT: Micros = 500 * MS;
-/// Peers that one request is relayed to at most, one after the other.
-const PEERS_MAX: usize = 2;
-
-/// One run of one policy.
+/// Maximum wait of a request for quota.
+const CLAIM_TIMEOUT: Micros = SEC;
+/// Time without a reply after which a claim counts as failed; repeats until a reply.
+const SUBMIT_TIMEOUT: Micros = SEC;
+/// Interval between demand evaluations.
+const POLL_INTERVAL: Micros = 500 * MS;
+/// Evaluation interval while a request waits that the last claim result still covers.
+const WAITER_POLL_INTERVAL: Micros = 5 * MS;
+/// Delay until a holder learns of a top-up.
+const TOP_UP_DELAY: Micros = SEC;
+/// Connection timeout.
+const CONNECT_TIMEOUT: Micros = 500 * MS;
+/// Maximum peers that one request is relayed to, in sequence.
+const MAX_PEERS: usize = 2;
+
+/// A simulation of one policy.
 #[derive(Debug)]
 pub struct World<'a> {
     setup: &'a Setup,
@@ -43,7 +43,7 @@
     agenda: Agenda<Event>,
     ledger: Ledger,
     holders: Vec<Holder>,
-    /// For each request the peers that are left to ask, once it was relayed.
+    /// Remaining candidate peers of each relayed request.
     relays: Vec<Option<Vec<usize>>>,
     is_flushing: bool,
     spent: Tokens,
@@ -54,7 +54,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A run of `plan` over the demand.
+    /// Creates a simulation of `plan` over the demand.
     #[must_use]
     pub fn new(setup: &'a Setup, plan: &'a Plan, arrivals: &'a [Arrival]) -> Self {
         let count_of = setup.weights.len();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> Outcome {
         self.begin();
@@ -131,11 +131,11 @@
                 }
             }
             Event::Deadline { request, holder } => self.deadline(now, request, holder),
-            Event::Silence { holder, since } => self.silence(now, holder, since),
+            Event::Silence { holder, since } => self.on_timeout(now, holder, since),
             Event::Submit(holder, sent) => self.submit(now, holder, sent),
             Event::Flush => self.flush(now),
             Event::Commit => self.commit(now),
-            Event::Heard(holder, heard) => self.heard(now, holder, heard),
+            Event::LedgerReply(holder, heard) => self.on_reply(now, holder, heard),
             Event::Relay(relay) => self.relay_to(now, relay),
             Event::Sample => self.sample(now),
         }
@@ -148,7 +148,7 @@
         self.ledger.top_up(index, self.setup.top_ups[index].1);
         self.flush_soon(now);
         for holder in 0..self.holders.len() {
-            let at = self.after_cut(holder, now + NEWS_LAG);
+            let at = self.after_cut(holder, now + TOP_UP_DELAY);
             self.agenda.put(at, Event::TopUpNews(holder));
         }
     }
@@ -164,7 +164,7 @@
         self.poll(now, holder);
     }
 
-    /// A request looks for rights at a holder.
+    /// Tries to reserve quota for a request at a holder.
     fn obtain(&mut self, now: Micros, request: usize, holder: usize) {
         if self.take(now, request, holder) {
             return;
@@ -173,14 +173,14 @@
             request,
             cost: self.arrivals[request].cost,
             since: now,
-            until: now + CLAIM_WAIT,
+            until: now + CLAIM_TIMEOUT,
             may_relay: self.plan.relay && self.relays[request].is_none(),
         };
         self.holders[holder].waiters.push(waiter);
         let until = waiter.until;
         self.agenda.put(until, Event::Deadline { request, holder });
         self.poll(now, holder);
-        // The claim's answer may be long known.
+        // An earlier claim result may already decide the request.
         if self.is_waiting(holder, request) {
             self.decide(now, holder, waiter);
         }
@@ -220,10 +220,10 @@
         self.spent += arrival.spend;
         let over = self.spent.saturating_sub(self.ledger.topped_up());
         self.outcome.overspend = self.outcome.overspend.max(over);
-        self.send(now, holder, Sent::Charge(request));
+        self.send(now, holder, Submission::Charge(request));
     }
 
-    /// Looks at a holder's demand, and makes its next claim or return.
+    /// Evaluates a holder's demand, and submits its next claim or return.
     fn poll(&mut self, now: Micros, holder: usize) {
         if self.holders[holder].pending.is_some() {
             return;
@@ -231,10 +231,10 @@
         let state = &mut self.holders[holder];
         let moved = state.poll(now);
         match moved {
-            Move::Claim(size) => {
+            Action::Claim(size) => {
                 state.seq += 1;
                 state.pending = Some(Pending { since: now });
-                let sent = Sent::Claim {
+                let sent = Submission::Claim {
                     seq: state.seq,
                     need: size.need,
                     want: size.want,
@@ -242,17 +242,17 @@
                 self.await_answer(now, holder);
                 self.send(now, holder, sent);
             }
-            Move::Return(amount) => {
+            Action::Return(amount) => {
                 state.pending = Some(Pending { since: now });
                 self.await_answer(now, holder);
-                self.send(now, holder, Sent::Return(amount));
+                self.send(now, holder, Submission::Return(amount));
             }
-            Move::Nothing { is_short: true } => {
+            Action::Nothing { is_short: true } => {
                 state.news.at = Some(now);
-                self.poll_at(holder, now + TOLD_PAUSE);
-                self.tell(now, holder);
+                self.poll_at(holder, now + WAITER_POLL_INTERVAL);
+                self.retry_waiters(now, holder);
             }
-            Move::Nothing { is_short: false } => self.poll_at(holder, now + TICK),
+            Action::Nothing { is_short: false } => self.poll_at(holder, now + POLL_INTERVAL),
         }
     }
 
@@ -263,10 +263,10 @@
 
     fn await_answer(&mut self, now: Micros, holder: usize) {
         let silence = Event::Silence { holder, since: now };
-        self.agenda.put(now + SUBMIT_WAIT, silence);
+        self.agenda.put(now + SUBMIT_TIMEOUT, silence);
     }
 
-    fn silence(&mut self, now: Micros, holder: usize, since: Micros) {
+    fn on_timeout(&mut self, now: Micros, holder: usize, since: Micros) {
         let state = &mut self.holders[holder];
         if state
             .pending
@@ -277,12 +277,12 @@
         }
         state.on_failed(now);
         let silence = Event::Silence { holder, since };
-        self.agenda.put(now + SUBMIT_WAIT, silence);
-        self.tell(now, holder);
+        self.agenda.put(now + SUBMIT_TIMEOUT, silence);
+        self.retry_waiters(now, holder);
     }
 
-    /// All that wait at a holder look again at what is known.
-    fn tell(&mut self, now: Micros, holder: usize) {
+    /// Decides all requests waiting at a holder again, with its current state.
+    fn retry_waiters(&mut self, now: Micros, holder: usize) {
         let waiters = self.holders[holder].waiters.clone();
         for waiter in waiters {
             if self.take(now, waiter.request, holder) {
@@ -299,7 +299,9 @@
         match step {
             ShortfallAction::Wait => {}
             ShortfallAction::Relay(_) => self.relay(now, holder, waiter, peers),
-            ShortfallAction::Refuse(refusal) => self.turn_away(now, holder, waiter, refusal.kind),
+            ShortfallAction::Refuse(refusal) => {
+                self.relay_or_refuse(now, holder, waiter, refusal.kind)
+            }
         }
     }
 
@@ -309,15 +311,15 @@
             return;
         };
         let waiter = *waiter;
-        self.turn_away(now, holder, waiter, RefusalKind::LogUnavailable);
+        self.relay_or_refuse(now, holder, waiter, RefusalKind::LogUnavailable);
     }
 
-    /// The request gets nothing at this holder.
-    fn turn_away(&mut self, now: Micros, holder: usize, waiter: Waiter, kind: RefusalKind) {
+    /// Handles a request that this holder can't serve: relays or refuses it.
+    fn relay_or_refuse(&mut self, now: Micros, holder: usize, waiter: Waiter, kind: RefusalKind) {
         if waiter.may_relay && kind != RefusalKind::NoBudget {
-            // As the router does: it asks some peers even without knowing holders.
+            // Like the router, try some peers even if no holders are known.
             let count = self.holders.len();
-            let peers = (1..=PEERS_MAX).map(|step| (holder + waiter.request * step + 1) % count);
+            let peers = (1..=MAX_PEERS).map(|step| (holder + waiter.request * step + 1) % count);
             let peers = peers.filter(|peer| *peer != holder).collect();
             return self.relay(now, holder, waiter, peers);
         }
@@ -331,13 +333,13 @@
         self.holders[holder].grant.miss(waiter.cost);
         self.outcome.relayed += 1;
         let mut peers = peers;
-        peers.truncate(PEERS_MAX);
+        peers.truncate(MAX_PEERS);
         peers.reverse();
         self.relays[waiter.request] = Some(peers);
         self.next_peer(now, waiter.request);
     }
 
-    /// Sends the request to the next peer, or ends it.
+    /// Relays the request to the next peer, or refuses it if none is left.
     fn next_peer(&mut self, now: Micros, request: usize) {
         let left = self.relays[request].take();
         let Some(mut peers) = left else {
@@ -359,9 +361,9 @@
                 request,
                 peers: Vec::new(),
             };
-            return self.agenda.put(now + CONNECT, Event::Relay(none));
+            return self.agenda.put(now + CONNECT_TIMEOUT, Event::Relay(none));
         }
-        self.agenda.put(now + HOP, Event::Relay(relay));
+        self.agenda.put(now + HOP_DELAY, Event::Relay(relay));
     }
 
     fn relay_to(&mut self, now: Micros, relay: Relay) {
@@ -391,17 +393,17 @@
         waiters.retain(|waiter| waiter.request != request);
     }
 
-    /// A record goes to the ledger; behind a cut, once it is over.
-    fn send(&mut self, now: Micros, holder: usize, sent: Sent) {
-        let at = self.after_cut(holder, now + HOP);
+    /// Sends a record to the ledger; during a partition, delays it until the partition ends.
+    fn send(&mut self, now: Micros, holder: usize, sent: Submission) {
+        let at = self.after_cut(holder, now + HOP_DELAY);
         self.agenda.put(at, Event::Submit(holder, sent));
     }
 
-    fn submit(&mut self, now: Micros, holder: usize, sent: Sent) {
+    fn submit(&mut self, now: Micros, holder: usize, sent: Submission) {
         match sent {
-            Sent::Claim { seq, need, want } => self.ledger.claim(holder, seq, need, want),
-            Sent::Return(amount) => self.ledger.give_back(holder, amount),
-            Sent::Charge(request) => {
+            Submission::Claim { seq, need, want } => self.ledger.claim(holder, seq, need, want),
+            Submission::Return(amount) => self.ledger.give_back(holder, amount),
+            Submission::Charge(request) => {
                 let arrival = &self.arrivals[request];
                 self.ledger.charge(holder, request, arrival, now);
             }
@@ -428,25 +430,25 @@
         let heard = self.ledger.commit();
         self.is_flushing = false;
         for (holder, heard) in heard {
-            let at = self.after_cut(holder, now + HOP);
-            self.agenda.put(at, Event::Heard(holder, heard));
+            let at = self.after_cut(holder, now + HOP_DELAY);
+            self.agenda.put(at, Event::LedgerReply(holder, heard));
         }
         if self.ledger.is_waiting() {
             self.flush_soon(now);
         }
     }
 
-    fn heard(&mut self, now: Micros, holder: usize, heard: Heard) {
+    fn on_reply(&mut self, now: Micros, holder: usize, heard: LedgerReply) {
         let state = &mut self.holders[holder];
         match heard {
-            Heard::Claim(fate) => state.on_claimed(now, &fate, self.plan.credits),
-            Heard::Returned => state.pending = None,
+            LedgerReply::Claim(fate) => state.on_claimed(now, &fate, self.plan.credits),
+            LedgerReply::Returned => state.pending = None,
         }
         self.poll(now, holder);
-        self.tell(now, holder);
+        self.retry_waiters(now, holder);
     }
 
-    /// A moment, or the end of the cut that the holder is behind then.
+    /// Returns the given time, or the end of the partition that the holder is in then.
     fn after_cut(&self, holder: usize, at: Micros) -> Micros {
         match self.setup.cut {
             Some(cut) if self.setup.is_cut(holder, at) => cut.until,
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,9 +1,9 @@
-//! Drivers that measure the decisions and the real processes.
+//! Benchmark drivers for the fleet's decisions and for its real processes.
 //!
-//! Each decision has a small driver of its own: demand and faults go in, virtual time
-//! is passed in, outcomes are counted. Nothing here models more of the network, the
-//! processes or the engines than the decision under test reads. Equal seeds give
-//! equal rows, but for what [`cost`] measures on the machine.
+//! Each decision has its own driver, which takes demand and faults, advances virtual
+//! time and counts the outcomes. The models of the network, the processes and the
+//! engines cover only the inputs of the decision under test. Equal seeds give
+//! equal rows, except for what [`cost`] measures on the machine.
 
 pub mod agenda;
 pub mod cost;
--- a/crates/bench/src/limits/mod.rs
+++ b/crates/bench/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Limits, priority and retries: goodput and honesty of refusals under overload, and
-//! attempts while runners fail.
+//! Limits, priority and retries: goodput and accuracy of retry-after times under
+//! overload, and attempts while runners fail.
 
 mod overload;
 mod retries;
--- a/crates/bench/src/limits/overload.rs
+++ b/crates/bench/src/limits/overload.rs
@@ -1,4 +1,4 @@
-//! A queue before its slots, and callers that come back when they are told to.
+//! A queue in front of its slots, and callers that honor the retry-after time.
 
 use std::time::Duration;
 
@@ -13,42 +13,42 @@
 
 /// Spread of the service times.
 const SPREAD: f64 = 0.4;
-/// Time between looks for entries that are too late.
-const LOOK: Micros = SEC / 10;
-/// Range in which callers come back after the moment that they were told.
-const LATE: Micros = SEC / 2;
-/// Multiples of the capacity that are run.
+/// Interval between checks for expired entries.
+const EXPIRY_INTERVAL: Micros = SEC / 10;
+/// Maximum jitter that callers add to the retry-after time.
+const MAX_RETRY_JITTER: Micros = SEC / 2;
+/// Simulated loads, as multiples of the capacity.
 const LOADS: [f64; 6] = [0.5, 0.8, 1.0, 1.5, 2.0, 3.0];
 
-/// Counts of one class.
+/// Counts of one priority class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Served {
-    /// First arrivals.
+    /// First attempts of requests.
     pub offered: u64,
     /// Answers within the deadline.
     pub good: u64,
-    /// Times from arrival (of the attempt that was admitted) to the answer (µs).
+    /// Latencies from the arrival of the admitted attempt to the answer (µs).
     pub times: Vec<Micros>,
-    /// Attempts refused at the door.
+    /// Attempts refused on arrival.
     pub refused: u64,
-    /// Entries admitted and given up later, and how long they had waited (µs).
+    /// Wait times of entries admitted to the queue and dropped later (µs).
     pub given_up: Vec<Micros>,
-    /// Attempts that came back as told.
+    /// Attempts made after a retry-after time.
     pub returns: u64,
     /// Of these, admitted.
     pub returns_taken: u64,
-    /// Of the admitted ones, given up later.
+    /// Of the admitted ones, dropped later.
     pub returns_lost: u64,
-    /// Times told to the refused (µs).
+    /// Retry-after times of the refusals (µs).
     pub told: Vec<Micros>,
 }
 
-/// What came of a run: one entry for each class.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// The classes, highest first.
+    /// Counts of each class, highest priority first.
     pub classes: Vec<Served>,
-    /// Time that was counted (s).
+    /// Length of the counted window (s).
     pub secs: f64,
 }
 
@@ -75,7 +75,7 @@
     is_return: bool,
 }
 
-/// One run of the queue.
+/// A simulation of the queue.
 #[derive(Debug)]
 pub struct World<'a> {
     setup: &'a Setup,
@@ -88,7 +88,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A run with the real queue.
+    /// Creates a simulation with the real queue.
     #[must_use]
     pub fn new(setup: &'a Setup, seed: u64) -> Self {
         let mut queue = Queue::new(QueuePolicy::default(), SLOTS);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> Outcome {
         self.agenda.put(0, Event::Look);
@@ -137,7 +137,7 @@
                     due,
                 } => self.done(now, class, since, start, due),
                 Event::Look => {
-                    self.agenda.put(now + LOOK, Event::Look);
+                    self.agenda.put(now + EXPIRY_INTERVAL, Event::Look);
                     self.give_up(now);
                 }
             }
@@ -200,17 +200,17 @@
         if counts {
             served.refused += 1;
         }
-        self.come_back(now, class, key, &refusal);
+        self.schedule_retry(now, class, key, &refusal);
     }
 
-    /// The caller comes back at the time told, in whole seconds as the header has it.
-    fn come_back(&mut self, now: Micros, class: usize, key: u64, refusal: &Refusal) {
+    /// Schedules the caller's retry after the retry-after time, rounded to whole seconds as in the header.
+    fn schedule_retry(&mut self, now: Micros, class: usize, key: u64, refusal: &Refusal) {
         let told = refusal.retry_after.unwrap_or(Duration::from_secs(1));
         let secs = told.as_micros().div_ceil(u128::from(SEC)) as u64;
         if self.counts(now) {
             self.outcome.classes[class].told.push(secs * SEC);
         }
-        let late = below(&mut self.demand, LATE);
+        let late = below(&mut self.demand, MAX_RETRY_JITTER);
         let back = Event::Return { class, key };
         self.agenda.put(now + secs * SEC + late, back);
     }
@@ -224,7 +224,7 @@
                 served.given_up.push(now - waiting.since);
                 served.returns_lost += u64::from(waiting.is_return);
             }
-            self.come_back(now, waiting.class, given.entry.key, &given.refusal);
+            self.schedule_retry(now, waiting.class, given.entry.key, &given.refusal);
         }
     }
 
@@ -272,7 +272,7 @@
 }
 
 impl Outcome {
-    /// Answers in time a second.
+    /// Answers within the deadline, per second.
     #[must_use]
     pub fn goodput(&self) -> f64 {
         let good: u64 = self.classes.iter().map(|class| class.good).sum();
--- a/crates/bench/src/limits/retries.rs
+++ b/crates/bench/src/limits/retries.rs
@@ -1,14 +1,14 @@
-//! Attempts for each request while runners fail.
+//! Attempts per request while runners fail.
 
 use crate::routing::{Choice, Fault, Outcome, Retry, Setup, World};
 use crate::row::Rows;
 
-/// Runners; half of them, or all, fail.
+/// Number of runners, of which half or all fail.
 const RUNNERS: usize = 10;
-/// Load that the half that is left can carry.
+/// A load that the remaining half can carry.
 const LOAD: f64 = 0.35;
 
-/// Runs all faults with each way to retry.
+/// Runs all faults with each retry policy.
 pub(super) fn run(seed: u64, quick: bool, rows: &mut Rows) {
     let half = vec![Fault::Fails(1.0); RUNNERS / 2];
     let flaky = vec![Fault::Fails(0.5); RUNNERS];
--- a/crates/bench/src/limits/setup.rs
+++ b/crates/bench/src/limits/setup.rs
@@ -1,22 +1,22 @@
-//! What a run is given.
+//! Inputs of a run.
 
 use swiftlink_types::Micros;
 
 use crate::draw::SEC;
 
-/// Slots at the runners.
+/// Total slots of the runners.
 pub const SLOTS: usize = 32;
-/// Mean time of a request (µs).
+/// Mean service time of a request (µs).
 pub const SERVICE: f64 = 600_000.0;
 
 /// A priority class and its demand.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name in the output rows.
     pub name: &'static str,
-    /// Its weight.
+    /// Scheduling weight.
     pub weight: u32,
-    /// Its part of the demand.
+    /// Share of the demand.
     pub share: f64,
 }
 
@@ -44,18 +44,18 @@
 pub struct Setup {
     /// Demand, as a multiple of what the slots serve.
     pub load: f64,
-    /// Whether the classes are told apart.
+    /// Whether the queue distinguishes the classes.
     pub classes: bool,
-    /// Time that a caller gives a request.
+    /// Deadline of a request, from its arrival.
     pub deadline: Micros,
     /// Length of the run.
     pub length: Micros,
-    /// Its first part that is not counted.
+    /// Warm-up at the start of the run, which is not counted.
     pub warm_up: Micros,
 }
 
 impl Setup {
-    /// A run at `load`.
+    /// Creates the setup of a run at `load`.
     #[must_use]
     pub fn at(load: f64, classes: bool, quick: bool) -> Self {
         Self {
--- a/crates/bench/src/path/bed.rs
+++ b/crates/bench/src/path/bed.rs
@@ -1,4 +1,4 @@
-//! The processes that are measured.
+//! Test bed: starts the processes to measure.
 
 use std::path::PathBuf;
 
@@ -6,25 +6,25 @@
 use serde_json::json;
 use swiftlink_testkit::fleet::{Fleet, MODEL, Plan, Tenant, change};
 
-/// Name of the tenant that calls.
-const TENANT: &str = "lannec";
-/// Secret of its API key, as the testkit makes it.
+/// Name of the calling workspace.
+const WORKSPACE: &str = "lannec";
+/// Secret of its API key, as the testkit generates it.
 pub const SECRET: &str = "sk-lannec";
-/// More than a run can spend (tokens).
+/// A top-up that no run can exhaust (tokens).
 const PREPAID: u64 = 1 << 50;
-/// Slots of the engine: never the bound of these figures.
+/// Slots of the engine, enough that they never limit the results.
 const SLOTS: u32 = 1_024;
-/// The stand-in looks through all streams that it keeps at each call, so it keeps
-/// them no longer than a resumption would need here (ms).
-const KEEP_MS: u64 = 300;
+/// Retention of streams (ms). The stand-in scans all retained streams at each call, so
+/// it retains them only as long as a resumption needs here.
+const STREAM_RETENTION_MS: u64 = 300;
 
-/// Starts `vms` VMs in three failure domains, one engine that answers as fast as it
-/// can, and declares `more` workspaces that stay silent.
+/// Starts `vms` VMs in three failure domains and one engine that answers without
+/// delay, and declares `more` idle workspaces.
 ///
 /// # Errors
-/// When a process does not start.
+/// Fails when a process does not start.
 pub async fn start(vms: usize, more: usize) -> anyhow::Result<Fleet> {
-    let mut tenants = vec![Tenant::new(TENANT, PREPAID)];
+    let mut tenants = vec![Tenant::new(WORKSPACE, PREPAID)];
     for at in 0..more {
         tenants.push(Tenant::new(&format!("silent-{at}"), 0));
     }
@@ -39,7 +39,7 @@
         .operator(settings);
     let fleet = plan.start().await?;
     let engine = &fleet.engines[0];
-    let faults = json!({ "slots": SLOTS, "keep_ms": KEEP_MS });
+    let faults = json!({ "slots": SLOTS, "keep_ms": STREAM_RETENTION_MS });
     engine.set(faults).await?;
     let spec = json!({
         "pool": MODEL, "address": engine.address(), "domain": "domain-0", "slots": SLOTS,
--- a/crates/bench/src/path/caller.rs
+++ b/crates/bench/src/path/caller.rs
@@ -1,4 +1,4 @@
-//! One caller with a connection of its own that is kept.
+//! A caller with its own persistent connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 const TOKENS: u32 = 4;
 /// Path of the call.
 const PATH: &str = "/v1/chat/completions";
-/// Stands at the end of each whole answer, streamed or not.
+/// Marks the end of each complete answer, streamed or not.
 const USAGE: &[u8] = b"\"total_tokens\"";
 
-/// Where a call goes, and in which form its answer comes.
+/// Target address and response form of a call.
 #[derive(Clone, Debug)]
 pub struct Side {
     address: SocketAddr,
@@ -29,7 +29,7 @@
 }
 
 impl Side {
-    /// Calls of the server at `address`.
+    /// Creates the target for the server at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, stream: bool, secret: &str) -> Self {
         let prompt = format!("measure the path tokens={TOKENS}");
@@ -64,10 +64,10 @@
 }
 
 impl Caller {
-    /// Connects; to be called on the thread that will use the connection.
+    /// Connects. Call this on the thread that will use the connection.
     ///
     /// # Errors
-    /// When the connection fails.
+    /// Fails when the connection can't be opened.
     pub async fn open(side: Side) -> anyhow::Result<Self> {
         let sender = connect(side.address).await?;
         Ok(Self { side, sender })
@@ -76,7 +76,7 @@
     /// Makes one call and reads its answer to the end.
     ///
     /// # Errors
-    /// When the answer isn't whole; the next call uses a new connection.
+    /// Fails when the answer is incomplete; the next call then opens a new connection.
     pub async fn call(&mut self) -> anyhow::Result<()> {
         let done = self.attempt().await;
         if done.is_err() || self.sender.is_closed() {
@@ -107,7 +107,7 @@
     let socket = TcpStream::connect(address).await.context("connect")?;
     socket.set_nodelay(true).context("TCP_NODELAY")?;
     let (sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
-    // Its error reaches the call that uses the connection.
+    // The call that uses the connection receives its error.
     tokio::spawn(async move { drop(connection.await) });
     Ok(sender)
 }
--- a/crates/bench/src/path/drive.rs
+++ b/crates/bench/src/path/drive.rs
@@ -1,6 +1,6 @@
-//! Sends calls and times them.
+//! Load generator: sends calls and records their latencies.
 //!
-//! Each thread has a runtime of its own, so that the client adds no change of thread.
+//! Each thread has its own runtime, so that the client adds no thread switches.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Barrier};
@@ -12,40 +12,40 @@
 
 use super::caller::{Caller, Side};
 
-/// Failed calls that are shown, of the whole run.
-const SHOWN: u64 = 3;
+/// Maximum failed calls printed in the whole run.
+const MAX_SHOWN_FAILURES: u64 = 3;
 static SEEN: AtomicU64 = AtomicU64::new(0);
-/// One call in so many is made before, to warm up.
-const WARM: u64 = 10;
+/// One warm-up call is made for every 10 measured calls.
+const CALLS_PER_WARMUP: u64 = 10;
 /// Nanoseconds in a millisecond.
 const MS: f64 = 1e6;
 
-/// How the connections of a side send.
+/// Load pattern of the connections to a side.
 #[derive(Clone, Copy, Debug)]
 pub enum Load {
-    /// Each sends again at once, for this time.
+    /// Closed loop: each connection sends its next call at once, for this duration.
     Closed(Duration),
-    /// Together they send this many calls a second, evenly, whatever the answers take.
+    /// Open loop: calls are sent at a constant total rate, independent of latency.
     Open {
         /// Calls a second.
         rate: f64,
-        /// For this time.
+        /// Duration.
         time: Duration,
     },
 }
 
-/// What a side is put under.
+/// Workload of a side.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
-    /// Connections.
+    /// Number of connections.
     pub conns: usize,
-    /// Threads that they are spread over.
+    /// Number of threads that share the connections.
     pub threads: usize,
-    /// How they send.
+    /// Load pattern.
     pub load: Load,
 }
 
-/// Times of calls.
+/// Latencies of calls.
 #[derive(Clone, Debug)]
 pub struct Tally {
     times: Histogram<u64>,
@@ -54,7 +54,7 @@
 }
 
 impl Tally {
-    /// No calls.
+    /// Creates an empty tally.
     #[must_use]
     pub fn new() -> Self {
         let times = Histogram::new(3).expect("three digits are allowed");
@@ -65,31 +65,31 @@
         }
     }
 
-    /// Adds the calls of another turn.
+    /// Merges the calls of another turn.
     pub fn join(&mut self, turn: &Self) {
         self.add(turn);
         self.busy += turn.busy;
     }
 
-    /// Whole calls.
+    /// Number of calls with a complete answer.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.times.len()
     }
 
-    /// Calls without a whole answer.
+    /// Number of calls without a complete answer.
     #[must_use]
     pub fn failed(&self) -> u64 {
         self.failed
     }
 
-    /// Whole calls a second.
+    /// Completed calls a second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         self.calls() as f64 / self.busy.as_secs_f64()
     }
 
-    /// The time (ms) that a share of the calls stayed under.
+    /// Returns the latency quantile (ms) for the given share of calls.
     #[must_use]
     pub fn at(&self, share: f64) -> f64 {
         self.times.value_at_quantile(share) as f64 / MS
@@ -104,7 +104,7 @@
     fn note(&mut self, done: &anyhow::Result<()>, time: Duration) {
         if let Err(error) = done {
             self.failed += 1;
-            if SEEN.fetch_add(1, Ordering::Relaxed) < SHOWN {
+            if SEEN.fetch_add(1, Ordering::Relaxed) < MAX_SHOWN_FAILURES {
                 eprintln!("a call failed: {error:#}");
             }
             return;
@@ -114,17 +114,17 @@
     }
 }
 
-/// Calls of some sides in turns, on one connection each.
+/// Calls the sides alternately, on one connection each.
 ///
 /// # Errors
-/// When a side can't be reached.
+/// Fails when a side can't be reached.
 pub async fn turns(sides: Vec<Side>, calls: u64) -> anyhow::Result<Vec<Tally>> {
     in_thread(async move {
         let mut lanes = Vec::new();
         for side in sides {
             lanes.push((Caller::open(side).await?, Tally::new()));
         }
-        for _warm in 0..calls / WARM {
+        for _warm in 0..calls / CALLS_PER_WARMUP {
             for (caller, _tally) in &mut lanes {
                 caller.call().await?;
             }
@@ -141,10 +141,10 @@
     .await
 }
 
-/// Puts one side under load for one turn.
+/// Runs the workload against one side for one turn.
 ///
 /// # Errors
-/// When the side can't be reached.
+/// Fails when the side can't be reached.
 pub async fn drive(side: &Side, work: Work) -> anyhow::Result<Tally> {
     let barrier = Arc::new(Barrier::new(work.threads));
     let mut threads = Vec::new();
@@ -163,13 +163,13 @@
     Ok(tally)
 }
 
-/// One thread's share of the connections.
+/// Runs one thread's share of the connections.
 async fn share(side: Side, work: Work, thread: usize, barrier: &Barrier) -> anyhow::Result<Tally> {
     let mut callers = Vec::new();
     for place in (thread..work.conns).step_by(work.threads) {
         callers.push((place, warm(&side).await));
     }
-    // All threads stand here, so that no connection is opened under load.
+    // Wait for all threads, so that no connection is opened under load.
     barrier.wait();
     let start = Instant::now();
     let mut tasks = JoinSet::new();
@@ -204,8 +204,8 @@
             let gap = Duration::from_secs_f64(work.conns as f64 / rate);
             let mut due = start + gap.mul_f64(place as f64 / work.conns as f64);
             while due < start + time {
-                // A connection that is free waits, and the timer's error isn't the
-                // callee's; one that is late counts from when it was due.
+                // An idle connection waits until the call is due, and the timer's error is not
+                // attributed to the server; a late call is timed from when it was due.
                 let mut begin = due;
                 if Instant::now() < due {
                     tokio::time::sleep_until(due.into()).await;
--- a/crates/bench/src/path/idle.rs
+++ b/crates/bench/src/path/idle.rs
@@ -1,4 +1,4 @@
-//! What the daemons cost without calls: control traffic, processor time, memory.
+//! Idle cost of the daemons: control traffic, processor time, memory.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use super::{bed, sockets, usage};
 use crate::row::Rows;
 
-/// Numbers of VMs.
+/// Fleet sizes (VMs).
 const VMS: [usize; 3] = [3, 6, 9];
-/// Numbers of workspaces that are declared beside the usual one; each has a budget
-/// and a key too.
+/// Numbers of additional workspaces, each with its own budget
+/// and key.
 const WORKSPACES: [usize; 3] = [0, 1_000, 4_000];
-/// Time for the start's own traffic to end.
+/// Settling time for start-up traffic.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Roles that are reported.
+/// Reported roles.
 const ROLES: [&str; 3] = ["router", "ledger", "operator"];
 
 /// Measures fleets of several sizes, and of several numbers of resources.
 ///
 /// # Errors
-/// When a process does not start.
+/// Fails when a process does not start.
 pub async fn measure(quick: bool, rows: &mut Rows) -> anyhow::Result<()> {
     let time = Duration::from_secs(if quick { 2 } else { 10 });
     for vms in VMS {
--- a/crates/bench/src/path/mod.rs
+++ b/crates/bench/src/path/mod.rs
@@ -1,9 +1,9 @@
-//! The cost of the path: the same call to the same engine, direct and through a router.
+//! Proxy overhead: the same call to the same engine, direct and through a router.
 //!
-//! Real processes on loopback, in one run; direct and routed calls take turns, so that
-//! whatever else the machine does meets both. The engine speaks streams only: whole
-//! routed answers are compared with the same direct stream. Figures are in
-//! milliseconds of wall time and depend on the machine; the load average stands by.
+//! Real processes on loopback, in one run; direct and routed calls alternate, so that
+//! other load on the machine affects both. The engine only streams, so unstreamed
+//! routed answers are compared with the same direct stream. Results are in
+//! milliseconds of wall time and depend on the machine; the load average is reported too.
 
 mod bed;
 mod caller;
@@ -22,10 +22,10 @@
 use drive::{Load, Tally, Work};
 use usage::Meter;
 
-/// Connections of the loaded rows.
-const MANY: usize = 256;
+/// Connections in the scenarios under load.
+const CONNECTIONS: usize = 256;
 
-/// How much is measured.
+/// Extent of the measurement.
 #[derive(Clone, Copy)]
 struct Size {
     rounds: usize,
@@ -50,14 +50,14 @@
     }
 }
 
-/// Measures the cost of the path. Where the processes can't be started, as when their
-/// binaries don't lie beside this one, a row says so.
+/// Measures the proxy overhead. If the processes can't be started, for example because
+/// their binaries are missing from this binary's directory, a row reports it.
 pub fn run(_seed: u64, quick: bool, rows: &mut Rows) {
     let measured = runtime().block_on(path(Size::of(quick), rows));
     conclude("path", &measured, rows);
 }
 
-/// Measures what the daemons cost without calls, by the size of the fleet and by the
+/// Measures the idle cost of the daemons, by the size of the fleet and by the
 /// number of resources.
 pub fn run_idle(_seed: u64, quick: bool, rows: &mut Rows) {
     let measured = runtime().block_on(idle::measure(quick, rows));
@@ -94,17 +94,17 @@
     Ok(())
 }
 
-/// One connection a side, call by call in turns.
+/// Measures one connection per side, with alternating calls.
 async fn one(name: &str, sides: &[Side; 2], size: Size, rows: &mut Rows) -> anyhow::Result<()> {
     let tallies = drive::turns(sides.to_vec(), size.calls).await?;
     report(name, &tallies[0], &tallies[1], rows);
     Ok(())
 }
 
-/// Many connections that send again at once; the answer is the routed calls a second.
+/// Measures many connections in a closed loop; returns the routed calls a second.
 async fn many(name: &str, sides: &[Side; 2], size: Size, rows: &mut Rows) -> anyhow::Result<f64> {
     let work = Work {
-        conns: MANY,
+        conns: CONNECTIONS,
         threads: 4,
         load: Load::Closed(size.time),
     };
@@ -136,7 +136,7 @@
     Ok(routed.rate())
 }
 
-/// Many connections at a given rate of calls a second.
+/// Measures many connections at a constant total rate of calls a second.
 async fn half(
     name: &str,
     sides: &[Side; 2],
@@ -145,7 +145,7 @@
     rows: &mut Rows,
 ) -> anyhow::Result<()> {
     let work = Work {
-        conns: MANY,
+        conns: CONNECTIONS,
         threads: 4,
         load: Load::Open {
             rate,
--- a/crates/bench/src/path/process.rs
+++ b/crates/bench/src/path/process.rs
@@ -1,15 +1,15 @@
-//! What the kernel tells of the fleet's processes.
+//! Processor time and memory of the fleet's processes, from procfs.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
 
-/// Counts of one process since its start.
+/// Resource usage of one process since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Processor time of its live threads (ns).
     pub cpu_ns: u64,
-    /// Memory held now (bytes).
+    /// Resident memory (bytes).
     pub memory: u64,
 }
 
@@ -37,7 +37,7 @@
     children
 }
 
-/// Counts of a process now.
+/// Reads the current resource usage of a process.
 #[must_use]
 pub fn counts(pid: u32) -> Counts {
     let dir = format!("/proc/{pid}");
@@ -60,7 +60,7 @@
     first.and_then(|word| word.parse().ok()).unwrap_or(0)
 }
 
-/// A number in the file `status` of a process's directory.
+/// Reads a number from the file `status` of a process's directory.
 fn field(dir: &Path, name: &str) -> Option<u64> {
     let text = fs::read_to_string(dir.join("status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
--- a/crates/bench/src/path/sockets.rs
+++ b/crates/bench/src/path/sockets.rs
@@ -1,7 +1,7 @@
-//! Bytes on the processes' TCP connections, as the kernel counts them per socket.
+//! Bytes sent on the processes' TCP connections, from the kernel's socket counters.
 //!
-//! Read with `ss` of iproute2; without it there are no such figures. A connection that
-//! opens and closes between two looks isn't seen.
+//! Read with `ss` of iproute2; without it no values are reported. A connection that
+//! opens and closes between two samples is missed.
 
 use std::collections::BTreeMap;
 use std::process::Command;
@@ -9,7 +9,7 @@
 /// Bytes sent on a connection since its start, by pid and local and peer address.
 pub type Sent = BTreeMap<(u32, String, String), u64>;
 
-/// What was sent until now on all connections of this user's processes.
+/// Samples the bytes sent so far on all connections of this user's processes.
 #[must_use]
 pub fn sent() -> Sent {
     let mut sent = Sent::new();
@@ -32,7 +32,7 @@
     sent
 }
 
-/// Bytes that each process sent between two looks.
+/// Returns the bytes that each process sent between two samples.
 #[must_use]
 pub fn between(before: &Sent, after: &Sent) -> BTreeMap<u32, u64> {
     let mut bytes = BTreeMap::new();
--- a/crates/bench/src/path/usage.rs
+++ b/crates/bench/src/path/usage.rs
@@ -6,7 +6,7 @@
 use super::process;
 use crate::row::Rows;
 
-/// Roles that are reported, with the names of their rows.
+/// Reported roles, with their metric names.
 const ROLES: [(&str, &str); 4] = [
     ("router", "routers"),
     ("ledger", "ledgers"),
@@ -14,7 +14,7 @@
     ("log", "log"),
 ];
 
-/// Adds up the processor time of all processes of a role over several turns.
+/// Sums the processor time of all processes of each role over several turns.
 #[derive(Debug)]
 pub struct Meter {
     roles: BTreeMap<u32, String>,
@@ -23,7 +23,7 @@
 }
 
 impl Meter {
-    /// A meter of this process's children.
+    /// Creates a meter for this process's children.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -33,14 +33,14 @@
         }
     }
 
-    /// A turn begins.
+    /// Starts a turn.
     pub fn begin(&mut self) {
         for pid in self.roles.keys() {
             self.begun.insert(*pid, process::counts(*pid).cpu_ns);
         }
     }
 
-    /// The turn has ended.
+    /// Ends the turn.
     pub fn end(&mut self) {
         for (pid, role) in &self.roles {
             let before = self.begun.get(pid).copied().unwrap_or(0);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds the processor time per call of each role.
+    /// Reports the processor time per call of each role.
     pub fn report(&self, name: &str, calls: u64, rows: &mut Rows) {
         for (role, policy) in ROLES {
             let used = self.used.get(role).copied().unwrap_or(0);
@@ -59,7 +59,7 @@
     }
 }
 
-/// The machine's load average over the last minute.
+/// Reads the machine's load average over the last minute.
 #[must_use]
 pub fn load_average() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
--- a/crates/bench/src/routing/mod.rs
+++ b/crates/bench/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Choice of a runner: time to the first token, prefix hits, requests lost.
+//! Runner selection: time to first token, prefix cache hits, failed requests.
 //!
-//! Several routers, each with the real fleet and policy, send requests to runners
-//! that know no more than what the choice can see: slots, a queue, a prefix cache, a
-//! lagging report, and faults.
+//! Several routers, each with the real fleet and policy, send requests to simulated
+//! runners that model only the inputs of the policy: slots, a queue, a prefix cache, a
+//! delayed load report, and faults.
 
 mod outcome;
 mod runner;
--- a/crates/bench/src/routing/outcome.rs
+++ b/crates/bench/src/routing/outcome.rs
@@ -1,4 +1,4 @@
-//! What is counted in a run.
+//! Results of a run.
 
 use swiftlink_types::Micros;
 
@@ -7,9 +7,9 @@
 /// Counts and times of a run, without its warm-up.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Times to the first token (µs); sorted at the end of the run.
+    /// Times to first token (µs); sorted at the end of the run.
     pub firsts: Vec<Micros>,
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u64,
     /// Attempts made for them.
     pub attempts: u64,
@@ -22,13 +22,13 @@
 }
 
 impl Outcome {
-    /// A quantile of the times to the first token, in ms.
+    /// Returns a quantile of the times to first token, in ms.
     #[must_use]
     pub fn first_ms(&self, quantile: f64) -> f64 {
         quantile_of(&self.firsts, quantile) as f64 / 1_000.0
     }
 
-    /// A count for each 100 requests.
+    /// Returns a count per 100 requests.
     #[must_use]
     pub fn percent(&self, count: u64) -> f64 {
         100.0 * count as f64 / self.requests.max(1) as f64
--- a/crates/bench/src/routing/runner.rs
+++ b/crates/bench/src/routing/runner.rs
@@ -1,4 +1,4 @@
-//! A runner, as far as the choice of one can see it.
+//! A simulated runner, limited to the state that affects its selection.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use super::setup::{Fault, SLOTS};
 
-/// Prefixes that a runner keeps.
-const CACHE: usize = 48;
-/// Time between remembered states, and how many are kept.
-pub(crate) const STEP: Micros = 100_000;
-const KEPT: usize = 64;
+/// Prefix cache capacity of a runner (prefixes).
+const CACHED_PREFIXES: usize = 48;
+/// Interval between load snapshots, and how many are kept.
+pub(crate) const SNAPSHOT_INTERVAL: Micros = 100_000;
+const MAX_SNAPSHOTS: usize = 64;
 
-/// Slots, a queue, a prefix cache and past states for its reports.
+/// Slots, a queue, a prefix cache and load snapshots for delayed reports.
 #[derive(Debug)]
 pub(crate) struct Runner {
     pub(crate) fault: Option<Fault>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// How many times slower it is than the others.
+    /// Slowdown factor relative to the other runners.
     pub(crate) fn slowness(&self) -> f64 {
         match self.fault {
             Some(Fault::Slow(factor)) => factor,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes a request; whether it starts at once.
+    /// Accepts a request; returns whether it starts at once.
     pub(crate) fn take(&mut self, request: usize) -> bool {
         if self.running == SLOTS {
             self.queue.push_back(request);
@@ -53,7 +53,7 @@
         true
     }
 
-    /// Ends a request; the one that starts in its place.
+    /// Ends a request; returns the queued request that starts in its place.
     pub(crate) fn end(&mut self) -> Option<usize> {
         let next = self.queue.pop_front();
         if next.is_none() {
@@ -67,10 +67,10 @@
         self.running as f64 / SLOTS as f64
     }
 
-    /// Whether the prefix is in the cache; it is afterwards.
+    /// Returns whether the prefix was cached, and inserts it.
     pub(crate) fn warm(&mut self, prefix: u64, now: Micros) -> bool {
         let known = self.cache.insert(prefix, now).is_some();
-        if self.cache.len() > CACHE {
+        if self.cache.len() > CACHED_PREFIXES {
             let oldest = self.cache.iter().min_by_key(|(key, at)| (**at, **key));
             if let Some((key, _)) = oldest {
                 let key = *key;
@@ -80,18 +80,18 @@
         known
     }
 
-    /// Remembers the state for the reports to come.
+    /// Takes a snapshot of the load for later reports.
     pub(crate) fn remember(&mut self) {
-        if self.past.len() == KEPT {
+        if self.past.len() == MAX_SNAPSHOTS {
             self.past.pop_front();
         }
         let state = (self.running as u32, self.queue.len() as u32);
         self.past.push_back(state);
     }
 
-    /// The report that arrives now, `lag` old.
+    /// Returns the load report that arrives now, with an age of `lag`.
     pub(crate) fn report(&self, lag: Micros) -> LoadReport {
-        let steps = (lag / STEP) as usize;
+        let steps = (lag / SNAPSHOT_INTERVAL) as usize;
         let at = self.past.len().saturating_sub(steps + 1);
         let (running, waiting) = self.past.get(at).copied().unwrap_or_default();
         LoadReport {
--- a/crates/bench/src/routing/scenario.rs
+++ b/crates/bench/src/routing/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios, and the rows that they give.
+//! Scenarios and their output rows.
 
 use super::outcome::Outcome;
 use super::setup::{Choice, Fault, Prefixes, Setup};
@@ -6,13 +6,13 @@
 use crate::draw::{MS, SEC};
 use crate::row::Rows;
 
-/// The size of the letter, for the runners.
+/// Runners in the full-scale deployment.
 const MANY: usize = 600;
-/// Routers of that size: a third of its daemons.
+/// Routers at full scale, a third of its daemons.
 const MANY_ROUTERS: usize = 120;
-/// Runners that a router uses there: the setting's default.
+/// Runners in each router's subset at full scale: the default of the setting.
 const SUBSET: usize = 32;
-/// How much slower the slow runner is.
+/// Slowdown factor of the slow runner.
 const SLOW: f64 = 4.0;
 
 /// Runs all scenarios with all policies.
@@ -25,7 +25,7 @@
     }
 }
 
-/// Adds the rows of a run.
+/// Writes the rows of a run.
 pub(crate) fn write(setup: &Setup, policy: &str, outcome: &Outcome, rows: &mut Rows) {
     let mut add = |metric, value| rows.add(setup.name, policy, metric, value);
     add("ttft_p50_ms", outcome.first_ms(0.5));
--- a/crates/bench/src/routing/setup.rs
+++ b/crates/bench/src/routing/setup.rs
@@ -1,4 +1,4 @@
-//! What a run is given.
+//! Inputs of a run.
 
 use swiftlink_routing::{
     ExpectedWait, HealthPolicy, LeastReported, Policy, Random, RoundRobin, TwoChoices,
@@ -7,38 +7,38 @@
 
 use crate::draw::{MS, SEC};
 
-/// Requests that a runner serves at once.
+/// Concurrent requests per runner.
 pub const SLOTS: usize = 16;
-/// Time to the first token at an idle runner (µs), and of the rest of an answer.
-pub const FIRST: f64 = 60_000.0;
-pub const REST: f64 = 2_000_000.0;
+/// Mean time to first token at an idle runner, and of the rest of an answer (µs).
+pub const FIRST_TOKEN_US: f64 = 60_000.0;
+pub const REMAINDER_US: f64 = 2_000_000.0;
 
 /// A faulty runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// So many times slower than the others.
+    /// Slower than the others by this factor.
     Slow(f64),
-    /// Fails this share of its requests at once; what fails leaves it idle.
+    /// Fails this share of its requests at once; a failed request takes no slot time.
     Fails(f64),
 }
 
-/// The prompts' prefixes.
+/// Prefixes of the prompts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prefixes {
-    /// Share of the requests that have a known prefix; the others have one of their own.
+    /// Share of the requests with a shared prefix; each other request has a unique one.
     pub share: f64,
-    /// Known prefixes.
+    /// Number of shared prefixes.
     pub count: usize,
-    /// How unevenly they come: the exponent of a Zipf law.
+    /// Skew of their popularity: the exponent of a Zipf distribution.
     pub skew: f64,
 }
 
-/// When a failed attempt is made again elsewhere.
+/// When a failed attempt is retried on another runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
     /// While the retry budget allows it.
     Budget,
-    /// Always, up to the limit for one request.
+    /// Always, up to the attempt limit of a request.
     Always,
 }
 
@@ -51,28 +51,28 @@
     pub routers: usize,
     /// Runners.
     pub runners: usize,
-    /// Runners that each router uses; 0: all.
+    /// Runners in each router's subset; 0 means all.
     pub subset: usize,
     /// Demand, as a share of the slots of all runners.
     pub load: f64,
-    /// Time between a router's polls of one runner.
+    /// Interval between a router's polls of one runner.
     pub poll: Micros,
     /// Age of a load report when it arrives.
     pub lag: Micros,
     /// Faults of the first runners.
     pub faults: Vec<Fault>,
-    /// The prompts' prefixes.
+    /// Prefixes of the prompts.
     pub prefixes: Prefixes,
-    /// Length of the run, and of its first part that is not counted.
+    /// Length of the run, warm-up included.
     pub length: Micros,
-    /// The part that is not counted.
+    /// Warm-up at the start of the run, which is not counted.
     pub warm_up: Micros,
     /// Retries.
     pub retry: Retry,
 }
 
 impl Setup {
-    /// The basic run: 8 routers, 10 runners, reports 1 s old, no faults.
+    /// Creates the base setup: 8 routers, 10 runners, reports 1 s old, no faults.
     #[must_use]
     pub fn basic(name: &'static str, quick: bool) -> Self {
         Self {
@@ -95,11 +95,11 @@
         }
     }
 
-    /// Requests a second, all routers together.
+    /// Requests a second over all routers.
     #[must_use]
     pub fn rate(&self) -> f64 {
         let slots = (self.runners * SLOTS) as f64;
-        let time = (REST + FIRST * (1.0 + self.load)) / SEC as f64;
+        let time = (REMAINDER_US + FIRST_TOKEN_US * (1.0 + self.load)) / SEC as f64;
         self.load * slots / time
     }
 }
@@ -107,17 +107,17 @@
 /// A policy under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Any runner.
+    /// Uniformly random.
     Random,
-    /// One after the other.
+    /// Round-robin.
     RoundRobin,
     /// Least reported load.
     LeastReported,
-    /// The better of two by own requests in flight.
+    /// The better of two random choices, by the router's own requests in flight.
     TwoChoices,
-    /// The same, with the ejection of failing runners.
+    /// The same, with outlier ejection of failing runners.
     TwoEjecting,
-    /// Least expected time to the first token, with ejection.
+    /// Least expected time to first token, with outlier ejection.
     Ours,
 }
 
@@ -132,7 +132,7 @@
         Self::Ours,
     ];
 
-    /// Its name.
+    /// Name in the output rows.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/world.rs
@@ -1,4 +1,4 @@
-//! The run: routers choose runners in virtual time.
+//! The simulation: routers choose runners in virtual time.
 
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{
@@ -7,25 +7,25 @@
 use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 use super::outcome::Outcome;
-use super::runner::{Runner, STEP};
-use super::setup::{Choice, FIRST, Fault, REST, Retry, SLOTS, Setup};
+use super::runner::{Runner, SNAPSHOT_INTERVAL};
+use super::setup::{Choice, FIRST_TOKEN_US, Fault, REMAINDER_US, Retry, SLOTS, Setup};
 use crate::agenda::Agenda;
 use crate::draw::{MS, around, below, gap, generator, unit, weighted};
 
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 4;
-/// One-way time to a runner in the same domain and in another one.
-const NEAR: Micros = 50;
-const FAR: Micros = 500;
-/// Time in which a failing runner fails.
-const FAIL: Micros = 2 * MS;
-/// Spread of the times to the first token, and of the rest.
+/// One-way latency to a runner in the same domain and in another one.
+const SAME_DOMAIN_DELAY: Micros = 50;
+const CROSS_DOMAIN_DELAY: Micros = 500;
+/// Time until a failing runner returns an error.
+const FAILURE_DELAY: Micros = 2 * MS;
+/// Spread of the time to first token, and of the rest of an answer.
 const FIRST_SPREAD: f64 = 0.2;
 const REST_SPREAD: f64 = 0.5;
-/// Part of the time to the first token that is left with a cached prefix.
-const WARM: f64 = 0.5;
-/// Most attempts for one request.
-const ATTEMPTS: u32 = 3;
+/// Factor on the time to first token when the prefix is cached.
+const CACHED_PREFIX_FACTOR: f64 = 0.5;
+/// Maximum attempts per request.
+const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Debug)]
 enum Event {
@@ -57,17 +57,17 @@
     is_warm: bool,
 }
 
-/// One run of one policy.
+/// A simulation of one policy.
 #[derive(Debug)]
 pub struct World<'a> {
     setup: &'a Setup,
     routers: Vec<Router>,
     runners: Vec<Runner>,
     requests: Vec<Request>,
-    /// Weights of the known prefixes.
+    /// Weights of the shared prefixes.
     weights: Vec<f64>,
     agenda: Agenda<Event>,
-    /// For demand, for the policy and for the runners, so that each policy meets the
+    /// Separate generators for demand, policy and runners, so that every policy gets the
     /// same demand.
     demand: Pcg64Mcg,
     chance: Pcg64Mcg,
@@ -76,7 +76,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A run of the choice.
+    /// Creates a simulation of the policy.
     #[must_use]
     pub fn new(setup: &'a Setup, choice: Choice, seed: u64) -> Self {
         let specs: Vec<ServerSpec> = (0..setup.runners).map(spec).collect();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> Outcome {
         self.begin();
@@ -200,13 +200,13 @@
         self.agenda.put(now + hop, Event::Start(number));
     }
 
-    /// The request reaches its runner.
+    /// Handles the arrival of a request at its runner.
     fn reach(&mut self, now: Micros, number: usize) {
         let runner = self.requests[number].runner;
         if let Some(Fault::Fails(share)) = self.runners[runner].fault
             && unit(&mut self.times) < share
         {
-            return self.agenda.put(now + FAIL, Event::Fail(number));
+            return self.agenda.put(now + FAILURE_DELAY, Event::Fail(number));
         }
         if self.runners[runner].take(number) {
             self.start(now, number);
@@ -217,10 +217,18 @@
         let request = &mut self.requests[number];
         let runner = &mut self.runners[request.runner];
         request.is_warm = runner.warm(request.prefix, now);
-        let part = if request.is_warm { WARM } else { 1.0 };
-        let mean = FIRST * part * (1.0 + runner.load()) * runner.slowness();
+        let part = if request.is_warm {
+            CACHED_PREFIX_FACTOR
+        } else {
+            1.0
+        };
+        let mean = FIRST_TOKEN_US * part * (1.0 + runner.load()) * runner.slowness();
         let first = around(&mut self.times, mean, FIRST_SPREAD);
-        let rest = around(&mut self.times, REST * runner.slowness(), REST_SPREAD);
+        let rest = around(
+            &mut self.times,
+            REMAINDER_US * runner.slowness(),
+            REST_SPREAD,
+        );
         let hop = hop(request.router, request.runner);
         self.agenda.put(now + first + hop, Event::First(number));
         self.agenda
@@ -259,7 +267,7 @@
         if let Some(sent) = request.sent.take() {
             router.fleet.on_error(sent, now, ErrorKind::Status);
         }
-        let may = request.attempts < ATTEMPTS;
+        let may = request.attempts < MAX_ATTEMPTS;
         let may = may && (self.setup.retry == Retry::Always || router.retries.take());
         if may {
             return self.send(now, number);
@@ -282,7 +290,7 @@
         for runner in &mut self.runners {
             runner.remember();
         }
-        self.agenda.put(now + STEP, Event::Remember);
+        self.agenda.put(now + SNAPSHOT_INTERVAL, Event::Remember);
     }
 }
 
@@ -321,13 +329,13 @@
 
 fn hop(router: usize, runner: usize) -> Micros {
     if router % DOMAINS == runner % DOMAINS {
-        NEAR
+        SAME_DOMAIN_DELAY
     } else {
-        FAR
+        CROSS_DOMAIN_DELAY
     }
 }
 
-/// Spreads the bits of a number; never 0.
+/// Mixes the bits of a number; never returns 0.
 fn hash(number: u64) -> u64 {
     let wide = u128::from(number + 1).wrapping_mul(0xd6e8_feb8_6659_fd93_a076_1d64_78bd_642f);
     ((wide >> 64) as u64 ^ wide as u64) | 1
--- a/crates/bench/src/row.rs
+++ b/crates/bench/src/row.rs
@@ -1,15 +1,15 @@
-//! Measured values, one line each.
+//! Output rows, one measured value each.
 
 use std::fmt;
 
 /// One measured value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What was put under which load and faults.
+    /// The scenario: what runs under which load and faults.
     pub scenario: String,
-    /// The policy that decided.
+    /// The policy under test.
     pub policy: String,
-    /// What was measured; the unit is its last part.
+    /// Name of the metric, with the unit as its suffix.
     pub metric: &'static str,
     /// The value.
     pub value: f64,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A value with as many digits as it is worth.
+/// Formats a value with a precision that depends on its magnitude.
 #[derive(Clone, Copy, Debug)]
 pub struct Number(pub f64);
 
@@ -51,14 +51,14 @@
     }
 }
 
-/// Takes the rows of a run.
+/// Collects the rows of a run.
 #[derive(Debug, Default)]
 pub struct Rows {
     rows: Vec<Row>,
 }
 
 impl Rows {
-    /// No rows.
+    /// Creates an empty collection.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -74,13 +74,13 @@
         });
     }
 
-    /// All values, in the order of the run.
+    /// Returns all rows, in the order of the run.
     #[must_use]
     pub fn all(&self) -> &[Row] {
         &self.rows
     }
 
-    /// The value of one metric.
+    /// Returns the value of one metric.
     #[must_use]
     pub fn get(&self, scenario: &str, policy: &str, metric: &str) -> Option<f64> {
         let mut rows = self.rows.iter();
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -1,4 +1,4 @@
-//! The command line of `swiftlink-bench`.
+//! Command line of `swiftlink-bench`.
 
 use std::path::PathBuf;
 use std::{fs, io};
@@ -10,10 +10,10 @@
 use crate::table::markdown;
 use crate::{cost, grants, limits, path, routing};
 
-/// Seed of a run that names none.
+/// Default seed.
 const SEED: u64 = 1;
 
-/// One driver.
+/// A benchmark driver.
 struct Driver {
     name: &'static str,
     run: fn(u64, bool, &mut Rows),
@@ -51,7 +51,7 @@
     },
 ];
 
-/// What to run.
+/// Parsed command-line arguments.
 #[derive(Debug)]
 struct Args {
     seed: u64,
@@ -63,7 +63,7 @@
 /// Runs the drivers that the arguments name, and prints their rows.
 ///
 /// # Errors
-/// When the arguments are wrong or the output can't be written.
+/// Fails when the arguments are invalid or the output can't be written.
 pub fn run(args: &[String], out: &mut impl io::Write) -> anyhow::Result<()> {
     let Some(args) = parse(args, out)? else {
         return Ok(());
--- a/crates/bench/src/table.rs
+++ b/crates/bench/src/table.rs
@@ -1,10 +1,10 @@
-//! The rows as Markdown tables: one for each scenario, a line for each policy.
+//! Markdown output: one table per scenario, one line per policy.
 
 use std::fmt::Write;
 
 use crate::row::{Number, Row};
 
-/// Renders the rows.
+/// Renders the rows as Markdown tables.
 #[must_use]
 pub fn markdown(rows: &[Row]) -> String {
     let mut text = String::new();
--- a/crates/bench/tests/grants.rs
+++ b/crates/bench/tests/grants.rs
@@ -1,10 +1,10 @@
-//! The grants driver: equal seeds give equal rows, and a broken policy shows.
+//! The grants driver is deterministic, and detects a policy that credits grants twice.
 
 use swiftlink_bench::grants::{Counted, Outcome, Plan, Setup, Size, Window, World, arrivals};
 
 const SEC: u64 = 1_000_000;
 
-/// Four holders in two domains; domain 0 is cut off from 20 s to 60 s.
+/// Four holders in two domains; domain 0 is partitioned from 20 s to 60 s.
 fn small() -> Setup {
     Setup {
         name: "small",
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn refusals_behind_the_cut_are_told_apart() {
+fn refusals_in_the_partition_are_counted_separately() {
     let outcome = run(&Plan::demand("demand", 2, 1.0, true), 1);
     assert!(outcome.inside.false_refused > 0);
     assert!(outcome.inside.false_share() > outcome.outside.false_share());
--- a/crates/bench/tests/limits.rs
+++ b/crates/bench/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The limits driver: equal seeds give equal rows, and overload shows.
+//! The limits driver is deterministic, and refuses requests only under overload.
 
 use swiftlink_bench::limits::{Outcome, Setup, World};
 
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The routing driver: equal seeds give equal rows, and a bad runner shows.
+//! The routing driver is deterministic, and shows the effect of failing runners.
 
 use swiftlink_bench::routing::{Choice, Fault, Outcome, Retry, Setup, World};
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_black_hole_takes_requests_from_who_looks_at_reports_alone() {
+fn load_reports_alone_attract_requests_to_a_failing_runner() {
     let setup = small(vec![Fault::Fails(1.0)]);
     let naive = run(&setup, Choice::LeastReported, 1);
     let ours = run(&setup, Choice::Ours, 1);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn without_a_budget_retries_multiply() {
+fn retries_multiply_without_a_retry_budget() {
     let faults = vec![Fault::Fails(1.0); 6];
     let mut setup = small(faults);
     let saved = run(&setup, Choice::Random, 1);
--- a/crates/bench/tests/rows.rs
+++ b/crates/bench/tests/rows.rs
@@ -1,4 +1,4 @@
-//! Rows as lines and as tables, and the command line.
+//! Tests of the row formats and of the command line.
 
 use swiftlink_bench::row::Rows;
 use swiftlink_bench::table::markdown;
