--- a/crates/bench/src/agenda.rs
+++ b/crates/bench/src/agenda.rs
@@ -30,7 +30,7 @@
     }
 
     /// Schedules an event at the given time.
-    pub fn put(&mut self, at: Micros, event: T) {
+    pub fn schedule(&mut self, at: Micros, event: T) {
         let number = self.count;
         self.count += 1;
         self.heap.push(Reverse(Item { at, number, event }));
--- a/crates/bench/src/cost/config.rs
+++ b/crates/bench/src/cost/config.rs
@@ -7,7 +7,7 @@
 use swiftlink_resource::Fold;
 use swiftlink_wire::log as wire;
 
-use super::meter::{cost, held, line, timed};
+use super::meter::{cost, fit_line, held, timed};
 use super::sizes;
 use crate::row::Rows;
 
@@ -20,7 +20,7 @@
 /// Timed scans per round.
 const SCANS: usize = 50;
 /// Changes per change set while the state is built.
-const SET: usize = 500;
+const CHANGES_PER_SET: usize = 500;
 
 pub(super) fn run(quick: bool, rows: &mut Rows) {
     let sizes = sizes([6_500, 13_000, 26_000], quick);
@@ -60,25 +60,25 @@
         shared.push((x, in_use));
     }
     if !bytes.is_empty() {
-        rows.add("config-workspaces", "slope", "bytes", line(&bytes).0);
+        rows.add("config-workspaces", "slope", "bytes", fit_line(&bytes).0);
     }
     rows.add(
         "config-workspaces",
         "slope",
         "topup_scan_us",
-        line(&scans).0,
+        fit_line(&scans).0,
     );
     rows.add(
         "config-workspaces",
         "slope",
         "change_alone_ms",
-        line(&times).0,
+        fit_line(&times).0,
     );
     rows.add(
         "config-workspaces",
         "slope",
         "change_in_use_ms",
-        line(&shared).0,
+        fit_line(&shared).0,
     );
 }
 
@@ -154,7 +154,7 @@
         list.push(change("server", format!("server-{number}"), 0, spec));
     }
     let mut fold = Fold::default();
-    for (number, changes) in list.chunks(SET).enumerate() {
+    for (number, changes) in list.chunks(CHANGES_PER_SET).enumerate() {
         let fate = fold.decide(
             number as u64,
             &set(format!("set-{number}"), changes.to_vec()),
--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -16,7 +16,7 @@
 };
 
 use super::meter::{Cost, cost};
-use crate::draw::{below, generator};
+use crate::draw::{generator, uniform};
 use crate::row::Rows;
 
 /// Size of the full-scale deployment.
@@ -76,7 +76,7 @@
         .collect();
     let mut rng = generator(seed, 1);
     cost(calls, || {
-        let name = &names[below(&mut rng, WORKSPACES as u64) as usize];
+        let name = &names[uniform(&mut rng, WORKSPACES as u64) as usize];
         let grant = &grants[&owners[name]];
         let held = grant.hold(700).expect("the grant is large");
         held.settle(500)
@@ -166,7 +166,7 @@
     let mut rng: Pcg64Mcg = generator(seed, 2);
     for (idx, _) in fleet.members() {
         let report = LoadReport {
-            running: below(&mut rng, 16) as u32,
+            running: uniform(&mut rng, 16) as u32,
             slots: 16,
             ..LoadReport::default()
         };
@@ -177,7 +177,7 @@
         now += 250;
         let pick = PickArgs {
             now,
-            prefix: 1 + below(&mut rng, 200),
+            prefix: 1 + uniform(&mut rng, 200),
             is_canary: false,
             may_probe: true,
             ..PickArgs::default()
--- a/crates/bench/src/cost/folds.rs
+++ b/crates/bench/src/cost/folds.rs
@@ -8,10 +8,10 @@
 use swiftlink_wire::log as wire;
 use wire::record::Kind;
 
-use super::meter::{held, line, timed};
+use super::meter::{fit_line, held, timed};
 use super::records::key;
 use super::sizes;
-use crate::draw::{below, generator};
+use crate::draw::{generator, uniform};
 use crate::row::Rows;
 
 /// Charges per batch.
@@ -62,10 +62,10 @@
         restore.push((x, decode * 1e3));
     }
     if !bytes.is_empty() {
-        rows.add(name, "slope", "bytes", line(&bytes).0);
+        rows.add(name, "slope", "bytes", fit_line(&bytes).0);
     }
-    rows.add(name, "slope", "snapshot_bytes", line(&snapshot).0);
-    rows.add(name, "slope", "restore_ms", line(&restore).0);
+    rows.add(name, "slope", "snapshot_bytes", fit_line(&snapshot).0);
+    rows.add(name, "slope", "restore_ms", fit_line(&restore).0);
 }
 
 /// Reports the time of one charge, batch decoding included, by number of stored keys.
@@ -122,7 +122,7 @@
             let number = if grants == budgets {
                 number
             } else {
-                below(&mut rng, budgets as u64) as usize
+                uniform(&mut rng, budgets as u64) as usize
             };
             let claim = wire::Claim {
                 incarnation: incarnation(router),
--- a/crates/bench/src/cost/meter.rs
+++ b/crates/bench/src/cost/meter.rs
@@ -53,7 +53,7 @@
 }
 
 /// Bytes in use on the heap; `None` without the counting allocator.
-pub(super) fn in_use() -> Option<f64> {
+pub(super) fn heap_in_use() -> Option<f64> {
     let stats = COUNTING.stats();
     if stats.allocations == 0 {
         return None;
@@ -64,14 +64,16 @@
 
 /// Returns the heap bytes that the result of `make` occupies, and the result.
 pub(super) fn held<T>(make: impl FnOnce() -> T) -> (Option<f64>, T) {
-    let before = in_use();
+    let before = heap_in_use();
     let made = make();
-    let bytes = in_use().zip(before).map(|(after, before)| after - before);
+    let bytes = heap_in_use()
+        .zip(before)
+        .map(|(after, before)| after - before);
     (bytes, made)
 }
 
 /// Fits a line to the points; returns its slope and its intercept.
-pub(super) fn line(points: &[(f64, f64)]) -> (f64, f64) {
+pub(super) fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
--- a/crates/bench/src/draw.rs
+++ b/crates/bench/src/draw.rs
@@ -22,19 +22,19 @@
 }
 
 /// Draws an integer below `len`.
-pub fn below(rng: &mut impl Rng, len: u64) -> u64 {
+pub fn uniform(rng: &mut impl Rng, len: u64) -> u64 {
     ((u128::from(rng.next_u64()) * u128::from(len)) >> 64) as u64
 }
 
 /// Draws the time to the next event of a Poisson process with `rate` events a second.
-pub fn gap(rng: &mut impl Rng, rate: f64) -> Micros {
+pub fn poisson_gap(rng: &mut impl Rng, rate: f64) -> Micros {
     let wait = -(1.0 - unit(rng)).ln() / rate;
     (wait * SEC as f64) as Micros
 }
 
 /// Draws a time: `mean` (µs) multiplied by a log-normal factor of mean 1 with
 /// the given spread.
-pub fn around(rng: &mut impl Rng, mean: f64, spread: f64) -> Micros {
+pub fn log_normal(rng: &mut impl Rng, mean: f64, spread: f64) -> Micros {
     let radius = (-2.0 * (1.0 - unit(rng)).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * unit(rng)).cos();
     let factor = (spread * normal - spread * spread / 2.0).exp();
--- a/crates/bench/src/grants/counter.rs
+++ b/crates/bench/src/grants/counter.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct Counter {
     /// Whether it admitted each request.
-    pub(crate) taken: Vec<bool>,
+    pub(crate) admitted: Vec<bool>,
     /// The part of the run that is counted.
     pub(crate) counted: Window,
 }
@@ -28,12 +28,12 @@
 pub(crate) fn count(setup: &Setup, arrivals: &[Arrival]) -> Counter {
     let mut agenda = Agenda::new();
     for (at, amount) in &setup.top_ups {
-        agenda.put(*at, Event::TopUp(*amount));
+        agenda.schedule(*at, Event::TopUp(*amount));
     }
     for (index, arrival) in arrivals.iter().enumerate() {
-        agenda.put(arrival.at, Event::Arrive(index));
+        agenda.schedule(arrival.at, Event::Arrive(index));
     }
-    let mut taken = vec![false; arrivals.len()];
+    let mut admitted = vec![false; arrivals.len()];
     let (mut paid, mut spent, mut reserved) = (0, 0, 0);
     let mut from = None;
     let mut last = 0;
@@ -46,9 +46,9 @@
                     continue;
                 }
                 reserved += arrival.cost;
-                taken[index] = true;
+                admitted[index] = true;
                 last = now;
-                agenda.put(now + arrival.time, Event::End(index));
+                agenda.schedule(now + arrival.time, Event::End(index));
             }
             Event::End(index) => {
                 reserved -= arrivals[index].cost;
@@ -72,5 +72,5 @@
             until: last + COUNT_MARGIN,
         },
     };
-    Counter { taken, counted }
+    Counter { admitted, counted }
 }
--- a/crates/bench/src/grants/event.rs
+++ b/crates/bench/src/grants/event.rs
@@ -8,12 +8,12 @@
 #[derive(Debug)]
 pub(super) enum Event {
     TopUp(usize),
-    TopUpNews(usize),
+    TopUpVisible(usize),
     Arrive(usize),
     End { request: usize, holder: usize },
     Poll(usize),
     Deadline { request: usize, holder: usize },
-    Silence { holder: usize, since: Micros },
+    Timeout { holder: usize, since: Micros },
     Submit(usize, Submission),
     Flush,
     Commit,
--- a/crates/bench/src/grants/holder.rs
+++ b/crates/bench/src/grants/holder.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ClaimResult {
     pub(crate) at: Option<Micros>,
-    pub(crate) is_out: bool,
+    pub(crate) is_log_down: bool,
     pub(crate) free: Tokens,
     elsewhere: Tokens,
     /// The other holders with the most quota.
@@ -52,7 +52,7 @@
 pub(crate) struct Holder {
     pub(crate) grant: Grant,
     pub(crate) sizing: Box<dyn Sizing>,
-    pub(crate) news: ClaimResult,
+    pub(crate) last_claim: ClaimResult,
     pub(crate) waiters: Vec<Waiter>,
     pub(crate) pending: Option<Pending>,
     pub(crate) seq: u64,
@@ -80,7 +80,7 @@
         Self {
             grant: Grant::new(),
             sizing,
-            news: ClaimResult::default(),
+            last_claim: ClaimResult::default(),
             waiters: Vec::new(),
             pending: None,
             seq: 0,
@@ -130,9 +130,9 @@
             let index = holder_of(holder.incarnation.as_ref()?)?;
             Some((index, holder.held))
         };
-        self.news = ClaimResult {
+        self.last_claim = ClaimResult {
             at: Some(now),
-            is_out: false,
+            is_log_down: false,
             free: fate.free,
             elsewhere: fate.elsewhere,
             holders: fate.holders.iter().filter_map(known).collect(),
@@ -142,8 +142,8 @@
     /// Handles the timeout of a claim or return.
     pub(crate) fn on_failed(&mut self, now: Micros) {
         self.sizing.on_failed(now);
-        self.news.is_out = true;
-        self.news.at = Some(now);
+        self.last_claim.is_log_down = true;
+        self.last_claim.at = Some(now);
     }
 
     /// Decides what to do with a request that lacks quota; a relay names the holders to try.
@@ -153,21 +153,25 @@
         waiter: &Waiter,
         has_log: bool,
     ) -> (ShortfallAction, Vec<usize>) {
-        let news = &self.news;
-        let is_fresh = news
+        let last_claim = &self.last_claim;
+        let is_fresh = last_claim
             .at
             .is_some_and(|at| now - at <= CLAIM_TTL || at >= waiter.since);
-        let listed: &[(usize, Tokens)] = if waiter.may_relay { &news.holders } else { &[] };
+        let listed: &[(usize, Tokens)] = if waiter.may_relay {
+            &last_claim.holders
+        } else {
+            &[]
+        };
         let holdings: Vec<HolderState> = listed.iter().map(|(_, held)| holding(*held)).collect();
         let own = self.grant.counters();
         let step = shortfall(&Shortfall {
             cost: waiter.cost,
             now,
             deadline: waiter.until,
-            is_log_up: has_log && !news.is_out,
+            is_log_up: has_log && !last_claim.is_log_down,
             claim_time: Duration::from_micros(self.claim_time),
-            free: is_fresh.then_some(news.free),
-            held_elsewhere: news.elsewhere + own.available + own.reserved,
+            free: is_fresh.then_some(last_claim.free),
+            held_elsewhere: last_claim.elsewhere + own.available + own.reserved,
             holders: &holdings,
         });
         let mut peers: Vec<usize> = listed.iter().map(|(index, _)| *index).collect();
--- a/crates/bench/src/grants/ledger.rs
+++ b/crates/bench/src/grants/ledger.rs
@@ -23,9 +23,9 @@
     /// Number of appends.
     pub(crate) appends: u64,
     /// Number of claims and returns in the appended records.
-    pub(crate) moves: u64,
+    pub(crate) transfers: u64,
     /// Charges that the fold did not apply.
-    pub(crate) void: u64,
+    pub(crate) void_charges: u64,
 }
 
 /// The ledger's reply to a holder's record.
@@ -138,26 +138,26 @@
             records,
         };
         let fates = self.fold.decide(&batch).fates;
-        let mut heard = Vec::new();
+        let mut replies = Vec::new();
         for ((holder, record), fate) in holders.into_iter().zip(&batch.records).zip(fates) {
             match (&record.kind, fate.kind) {
                 (Some(Kind::Claim(_)), Some(wire::fate::Kind::Claim(fate))) => {
-                    self.moves += 1;
-                    heard.push((holder, LedgerReply::Claim(fate)));
+                    self.transfers += 1;
+                    replies.push((holder, LedgerReply::Claim(fate)));
                 }
                 (Some(Kind::GiveBack(_)), _) => {
-                    self.moves += 1;
-                    heard.push((holder, LedgerReply::Returned));
+                    self.transfers += 1;
+                    replies.push((holder, LedgerReply::Returned));
                 }
                 (Some(Kind::Charges(_)), Some(wire::fate::Kind::Charges(fate))) => {
                     let counted = wire::ChargeFate::Charged as i32;
-                    let void = fate.items.iter().filter(|item| **item != counted);
-                    self.void += void.count() as u64;
+                    let void_charges = fate.items.iter().filter(|item| **item != counted);
+                    self.void_charges += void_charges.count() as u64;
                 }
                 _ => {}
             }
         }
-        heard
+        replies
     }
 }
 
--- a/crates/bench/src/grants/mod.rs
+++ b/crates/bench/src/grants/mod.rs
@@ -11,9 +11,9 @@
 mod outcome;
 mod scenario;
 mod setup;
-mod world;
+mod simulation;
 
 pub use outcome::Outcome;
 pub use scenario::{ahead_curve, run};
-pub use setup::{Arrival, Counted, Plan, Setup, Size, Window, arrivals};
-pub use world::World;
+pub use setup::{Arrival, Counted, PolicySpec, Setup, Size, Window, arrivals};
+pub use simulation::Simulation;
--- a/crates/bench/src/grants/outcome.rs
+++ b/crates/bench/src/grants/outcome.rs
@@ -10,11 +10,11 @@
     /// Requests that the global counter admitted.
     pub counter: u64,
     /// Requests admitted.
-    pub taken: u64,
+    pub admitted: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Requests refused while all holders together had enough tokens left for them.
-    pub with_rest: u64,
+    /// Requests refused while the whole budget had enough unreserved tokens for them.
+    pub funded_refused: u64,
     /// Of these, the ones that the global counter admitted.
     pub false_refused: u64,
 }
@@ -25,7 +25,7 @@
     /// Maximum over time of the tokens spent beyond the top-ups.
     pub overspend: Tokens,
     /// Charges that the fold did not apply.
-    pub void: u64,
+    pub void_charges: u64,
     /// Counts outside the partition.
     pub outside: Side,
     /// Counts in the partitioned domain, during the partition.
@@ -35,13 +35,13 @@
     /// Requests that arrived, counted or not.
     pub requests: u64,
     /// Number of claims and returns.
-    pub moves: u64,
+    pub transfers: u64,
     /// Number of appends, including those of charges.
     pub appends: u64,
     /// Mean of the unreserved tokens at the holders.
     pub held: f64,
     /// Mean of the unreserved tokens in the partitioned domain, during the partition.
-    pub held_cut: f64,
+    pub held_partitioned: f64,
     /// Unreserved tokens at the holders at the end of the counted window.
     pub left: Tokens,
 }
@@ -49,9 +49,9 @@
 impl Side {
     fn add(&mut self, other: &Self) {
         self.counter += other.counter;
-        self.taken += other.taken;
+        self.admitted += other.admitted;
         self.refused += other.refused;
-        self.with_rest += other.with_rest;
+        self.funded_refused += other.funded_refused;
         self.false_refused += other.false_refused;
     }
 
@@ -61,16 +61,16 @@
         share(self.false_refused, self.counter)
     }
 
-    /// Refusals while all holders together had enough tokens, as a share of the same.
+    /// Refusals while the whole budget had enough tokens, as a share of the same.
     #[must_use]
-    pub fn rest_share(&self) -> f64 {
-        share(self.with_rest, self.counter)
+    pub fn funded_share(&self) -> f64 {
+        share(self.funded_refused, self.counter)
     }
 
     /// Shortfall of admitted requests against the global counter, as a share.
     #[must_use]
     pub fn missing_share(&self) -> f64 {
-        share(self.counter.saturating_sub(self.taken), self.counter)
+        share(self.counter.saturating_sub(self.admitted), self.counter)
     }
 }
 
@@ -78,28 +78,28 @@
     /// Adds the counts of another run; values that must be 0 take the maximum.
     pub(crate) fn add(&mut self, other: &Self) {
         self.overspend = self.overspend.max(other.overspend);
-        self.void = self.void.max(other.void);
+        self.void_charges = self.void_charges.max(other.void_charges);
         self.outside.add(&other.outside);
         self.inside.add(&other.inside);
         self.relayed += other.relayed;
         self.requests += other.requests;
-        self.moves += other.moves;
+        self.transfers += other.transfers;
         self.appends += other.appends;
         self.held += other.held;
-        self.held_cut += other.held_cut;
+        self.held_partitioned += other.held_partitioned;
         self.left += other.left;
     }
 
     /// Turns sums over `runs` runs into means; shares are independent of the number of runs.
     pub(crate) fn divide(&mut self, runs: u64) {
         self.held /= runs as f64;
-        self.held_cut /= runs as f64;
+        self.held_partitioned /= runs as f64;
         self.left /= runs;
     }
 
     /// Returns the side of the partition that a request belongs to.
     pub(crate) fn side(&mut self, setup: &Setup, holder: usize, at: Micros) -> &mut Side {
-        if setup.is_cut(holder, at) {
+        if setup.is_partitioned(holder, at) {
             &mut self.inside
         } else {
             &mut self.outside
--- a/crates/bench/src/grants/scenario.rs
+++ b/crates/bench/src/grants/scenario.rs
@@ -3,8 +3,8 @@
 use swiftlink_types::{Micros, Tokens};
 
 use super::outcome::Outcome;
-use super::setup::{Arrival, Counted, MEAN_SPEND, Plan, Setup, Size, Window, arrivals};
-use super::world::World;
+use super::setup::{Arrival, Counted, MEAN_SPEND, PolicySpec, Setup, Size, Window, arrivals};
+use super::simulation::Simulation;
 use crate::draw::SEC;
 use crate::row::Rows;
 
@@ -41,73 +41,74 @@
 pub fn run(seed: u64, quick: bool, rows: &mut Rows) {
     for setup in setups(quick) {
         let arrivals = arrivals(&setup, seed);
-        for plan in plans() {
-            measure(&setup, &plan, &arrivals, rows);
+        for policy in policies() {
+            measure(&setup, &policy, &arrivals, rows);
         }
     }
 }
 
-/// Runs the fault scenarios over a range of settings that trade one user's needs for another's.
+/// Runs the fault scenarios over the settings between the trade-offs of two users, who
+/// weigh the metrics differently.
 pub fn ahead_curve(seed: u64, quick: bool, rows: &mut Rows) {
-    let setups = [cut(quick), log_out(quick), tail(8, quick)];
+    let setups = [partition(quick), log_out(quick), tail(8, quick)];
     let repeats = if quick { 1 } else { CURVE_REPEATS };
     for setup in setups {
         let name = format!("curve-{}", setup.name);
         for (ahead, hold) in CURVE {
             let label = format!("ahead={ahead}s,hold={hold}");
-            let plan = Plan::demand(&label, ahead, hold, true);
+            let policy = PolicySpec::demand(&label, ahead, hold, true);
             let mut sum = Outcome::default();
             // The quota held when a fault begins depends on the last claims, so average seeds.
             for repeat in 0..repeats {
                 let arrivals = arrivals(&setup, seed + repeat);
-                sum.add(&World::new(&setup, &plan, &arrivals).run());
+                sum.add(&Simulation::new(&setup, &policy, &arrivals).run());
             }
             sum.divide(repeats);
-            write(&name, &plan.name, &setup, &sum, rows);
+            write(&name, &policy.name, &setup, &sum, rows);
         }
     }
 }
 
-fn plans() -> Vec<Plan> {
+fn policies() -> Vec<PolicySpec> {
     vec![
-        Plan::new("even-split", Size::Even, false),
-        Plan::new("fixed-chunk", Size::Chunk(CHUNK), false),
-        Plan::demand("demand", 10, 1.0, false),
-        Plan::demand("demand-relay", 10, 1.0, true),
-        Plan::demand("demand-relay-900s", 900, 3.0, true),
+        PolicySpec::new("even-split", Size::Even, false),
+        PolicySpec::new("fixed-chunk", Size::Chunk(CHUNK), false),
+        PolicySpec::demand("demand", 10, 1.0, false),
+        PolicySpec::demand("demand-relay", 10, 1.0, true),
+        PolicySpec::demand("demand-relay-900s", 900, 3.0, true),
     ]
 }
 
 fn setups(quick: bool) -> Vec<Setup> {
     vec![
         steady(8, quick),
-        cut(quick),
+        partition(quick),
         tail(8, quick),
-        hot(quick),
+        hot_domain(quick),
         log_out(quick),
         steady(300, quick),
         tail(300, quick),
     ]
 }
 
-fn measure(setup: &Setup, plan: &Plan, arrivals: &[Arrival], rows: &mut Rows) {
-    let outcome = World::new(setup, plan, arrivals).run();
-    write(setup.name, &plan.name, setup, &outcome, rows);
+fn measure(setup: &Setup, policy: &PolicySpec, arrivals: &[Arrival], rows: &mut Rows) {
+    let outcome = Simulation::new(setup, policy, arrivals).run();
+    write(setup.name, &policy.name, setup, &outcome, rows);
 }
 
 fn write(scenario: &str, policy: &str, setup: &Setup, outcome: &Outcome, rows: &mut Rows) {
     let mut add = |metric, value| rows.add(scenario, policy, metric, value);
     add("overspend_tokens", outcome.overspend as f64);
-    add("void_charges", outcome.void as f64);
+    add("void_charges", outcome.void_charges as f64);
     let side = &outcome.outside;
     add("false_refused_pct", 100.0 * side.false_share());
     add("missing_pct", 100.0 * side.missing_share());
-    add("refused_with_rest_pct", 100.0 * side.rest_share());
-    if setup.cut.is_some() {
+    add("refused_with_rest_pct", 100.0 * side.funded_share());
+    if setup.partition.is_some() {
         let side = &outcome.inside;
         add("cut_false_refused_pct", 100.0 * side.false_share());
         add("cut_missing_pct", 100.0 * side.missing_share());
-        add("cut_stranded_tokens", outcome.held_cut);
+        add("cut_stranded_tokens", outcome.held_partitioned);
     }
     add("stranded_tokens", outcome.held);
     add(
@@ -116,7 +117,10 @@
     );
     add("left_tokens", outcome.left as f64);
     let thousands = outcome.requests as f64 / 1_000.0;
-    add("claims_returns_per_1k", outcome.moves as f64 / thousands);
+    add(
+        "claims_returns_per_1k",
+        outcome.transfers as f64 / thousands,
+    );
     add("appends_per_1k", outcome.appends as f64 / thousands);
     add(
         "relayed_pct",
@@ -134,7 +138,7 @@
 }
 
 /// Tops up `first` seconds of demand at the start, then a minute's demand each minute.
-fn fed(rate: f64, first: u64, length: Micros) -> Vec<(Micros, Tokens)> {
+fn periodic_top_ups(rate: f64, first: u64, length: Micros) -> Vec<(Micros, Tokens)> {
     let mut list = vec![(0, Setup::demand(rate, first))];
     let minutes = length / (TOP_UP * SEC);
     for minute in 1..minutes {
@@ -156,14 +160,14 @@
         domains: 4,
         rate,
         length,
-        top_ups: fed(rate, 360, length),
-        cut: None,
-        out: None,
+        top_ups: periodic_top_ups(rate, 360, length),
+        partition: None,
+        log_outage: None,
         counted: Counted::All,
     }
 }
 
-fn fault(quick: bool) -> Window {
+fn fault_window(quick: bool) -> Window {
     let scale = if quick { 10 } else { 1 };
     Window {
         from: FAULT_START / scale,
@@ -171,32 +175,32 @@
     }
 }
 
-fn cut(quick: bool) -> Setup {
-    let cut = fault(quick);
-    let length = cut.until + cut.from;
+fn partition(quick: bool) -> Setup {
+    let partition = fault_window(quick);
+    let length = partition.until + partition.from;
     Setup {
         name: "grants-cut",
         length,
-        top_ups: fed(RATE, 360, length),
-        cut: Some(cut),
+        top_ups: periodic_top_ups(RATE, 360, length),
+        partition: Some(partition),
         ..steady(8, quick)
     }
 }
 
 fn log_out(quick: bool) -> Setup {
-    let out = fault(quick);
-    let length = out.until + out.from;
+    let log_outage = fault_window(quick);
+    let length = log_outage.until + log_outage.from;
     Setup {
         name: "grants-log-out",
         length,
         // Top up in advance: nothing reaches the log during its outage.
         top_ups: vec![(0, Setup::demand(RATE, 3_600))],
-        out: Some(out),
+        log_outage: Some(log_outage),
         ..steady(8, quick)
     }
 }
 
-fn hot(quick: bool) -> Setup {
+fn hot_domain(quick: bool) -> Setup {
     let mut weights = vec![0.1; 8];
     weights[0] = 8.0;
     weights[4] = 8.0;
--- a/crates/bench/src/grants/setup.rs
+++ b/crates/bench/src/grants/setup.rs
@@ -5,7 +5,7 @@
 use swiftlink_admission::{DemandSizer, EvenSplit, FixedChunk, SizerPolicy, Sizing};
 use swiftlink_types::{Micros, Tokens};
 
-use crate::draw::{SEC, around, below, gap, generator, weighted};
+use crate::draw::{SEC, generator, log_normal, poisson_gap, uniform, weighted};
 
 /// Prompt tokens: minimum and range.
 const PROMPT: (Tokens, Tokens) = (50, 450);
@@ -61,9 +61,9 @@
     /// Top-ups: time and tokens.
     pub top_ups: Vec<(Micros, Tokens)>,
     /// When domain 0 is partitioned from the log and from the other domains.
-    pub cut: Option<Window>,
+    pub partition: Option<Window>,
     /// When the log is unavailable.
-    pub out: Option<Window>,
+    pub log_outage: Option<Window>,
     /// The part of the run that is counted.
     pub counted: Counted,
 }
@@ -81,7 +81,7 @@
 
 /// A policy under test.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct PolicySpec {
     /// Name in the output rows.
     pub name: String,
     /// How claims are sized.
@@ -92,7 +92,7 @@
     pub credits: u64,
 }
 
-impl Plan {
+impl PolicySpec {
     /// Creates a policy that sizes claims by demand.
     #[must_use]
     pub fn demand(name: &str, ahead: u64, hold: f64, relay: bool) -> Self {
@@ -148,18 +148,18 @@
     let mut list = Vec::new();
     let mut at = 0;
     loop {
-        at += gap(&mut rng, setup.rate);
+        at += poisson_gap(&mut rng, setup.rate);
         if at >= setup.length {
             return list;
         }
-        let prompt = PROMPT.0 + below(&mut rng, PROMPT.1);
-        let answer = MIN_ANSWER + below(&mut rng, MAX_ANSWER - MIN_ANSWER);
+        let prompt = PROMPT.0 + uniform(&mut rng, PROMPT.1);
+        let answer = MIN_ANSWER + uniform(&mut rng, MAX_ANSWER - MIN_ANSWER);
         list.push(Arrival {
             at,
             holder: weighted(&mut rng, &setup.weights),
             cost: prompt + MAX_ANSWER,
             spend: prompt + answer,
-            time: around(&mut rng, RUN_TIME, RUN_SPREAD),
+            time: log_normal(&mut rng, RUN_TIME, RUN_SPREAD),
         });
     }
 }
@@ -179,21 +179,22 @@
 
     /// Whether a holder is partitioned at `now`.
     #[must_use]
-    pub fn is_cut(&self, holder: usize, now: Micros) -> bool {
-        self.domain(holder) == 0 && self.cut.is_some_and(|cut| cut.has(now))
+    pub fn is_partitioned(&self, holder: usize, now: Micros) -> bool {
+        self.domain(holder) == 0 && self.partition.is_some_and(|partition| partition.has(now))
     }
 
     /// Whether the log is unavailable at `now`.
     #[must_use]
-    pub fn is_out(&self, now: Micros) -> bool {
-        self.out.is_some_and(|out| out.has(now))
+    pub fn is_log_down(&self, now: Micros) -> bool {
+        self.log_outage
+            .is_some_and(|log_outage| log_outage.has(now))
     }
 
     /// Whether a holder has received a response of the log within the last 2.5 s.
     pub(crate) fn has_log(&self, holder: usize, now: Micros) -> bool {
         const SILENCE: Micros = 5 * SEC / 2;
         let then = now.saturating_sub(SILENCE);
-        let is_off = |at| self.is_cut(holder, at) || self.is_out(at);
+        let is_off = |at| self.is_partitioned(holder, at) || self.is_log_down(at);
         !(is_off(now) && is_off(then))
     }
 }
--- a/crates/bench/src/grants/world.rs
+++ b/crates/bench/src/grants/simulation.rs
@@ -9,7 +9,7 @@
 use super::ledger::Ledger;
 use super::ledger::LedgerReply;
 use super::outcome::{Average, Outcome};
-use super::setup::{Arrival, Plan, Setup};
+use super::setup::{Arrival, PolicySpec, Setup};
 use crate::agenda::Agenda;
 use crate::draw::{MS, SEC};
 
@@ -24,7 +24,7 @@
 const SUBMIT_TIMEOUT: Micros = SEC;
 /// Interval between demand evaluations.
 const POLL_INTERVAL: Micros = 500 * MS;
-/// Evaluation interval while a request waits that the last claim result still covers.
+/// Evaluation interval while a request waits but the last claim result still stands.
 const WAITER_POLL_INTERVAL: Micros = 5 * MS;
 /// Delay until a holder learns of a top-up.
 const TOP_UP_DELAY: Micros = SEC;
@@ -35,9 +35,9 @@
 
 /// A simulation of one policy.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     setup: &'a Setup,
-    plan: &'a Plan,
+    policy: &'a PolicySpec,
     arrivals: &'a [Arrival],
     counter: Counter,
     agenda: Agenda<Event>,
@@ -49,30 +49,30 @@
     spent: Tokens,
     reserved: Tokens,
     held: Average,
-    held_cut: Average,
+    held_partitioned: Average,
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Creates a simulation of `plan` over the demand.
     #[must_use]
-    pub fn new(setup: &'a Setup, plan: &'a Plan, arrivals: &'a [Arrival]) -> Self {
-        let count_of = setup.weights.len();
-        let holders = (0..count_of).map(|_| Holder::new(plan.sizing(count_of)));
+    pub fn new(setup: &'a Setup, policy: &'a PolicySpec, arrivals: &'a [Arrival]) -> Self {
+        let holder_count = setup.weights.len();
+        let holders = (0..holder_count).map(|_| Holder::new(policy.sizing(holder_count)));
         Self {
             setup,
-            plan,
+            policy,
             arrivals,
             counter: count(setup, arrivals),
             agenda: Agenda::new(),
-            ledger: Ledger::new(count_of),
+            ledger: Ledger::new(holder_count),
             holders: holders.collect(),
             relays: vec![None; arrivals.len()],
             is_flushing: false,
             spent: 0,
             reserved: 0,
             held: Average::default(),
-            held_cut: Average::default(),
+            held_partitioned: Average::default(),
             outcome: Outcome::default(),
         }
     }
@@ -92,34 +92,34 @@
 
     fn begin(&mut self) {
         for (index, (at, _)) in self.setup.top_ups.iter().enumerate() {
-            self.agenda.put(*at, Event::TopUp(index));
+            self.agenda.schedule(*at, Event::TopUp(index));
         }
         for (index, arrival) in self.arrivals.iter().enumerate() {
-            self.agenda.put(arrival.at, Event::Arrive(index));
+            self.agenda.schedule(arrival.at, Event::Arrive(index));
         }
-        self.agenda.put(SEC, Event::Sample);
+        self.agenda.schedule(SEC, Event::Sample);
     }
 
     fn finish(mut self) -> Outcome {
         for (index, arrival) in self.arrivals.iter().enumerate() {
-            if self.counter.taken[index] && self.counter.counted.has(arrival.at) {
+            if self.counter.admitted[index] && self.counter.counted.has(arrival.at) {
                 let side = self.outcome.side(self.setup, arrival.holder, arrival.at);
                 side.counter += 1;
             }
         }
         self.outcome.requests = self.arrivals.len() as u64;
-        self.outcome.void = self.ledger.void;
-        self.outcome.moves = self.ledger.moves;
+        self.outcome.void_charges = self.ledger.void_charges;
+        self.outcome.transfers = self.ledger.transfers;
         self.outcome.appends = self.ledger.appends;
         self.outcome.held = self.held.get();
-        self.outcome.held_cut = self.held_cut.get();
+        self.outcome.held_partitioned = self.held_partitioned.get();
         self.outcome
     }
 
     fn step(&mut self, now: Micros, event: Event) {
         match event {
             Event::TopUp(index) => self.top_up(now, index),
-            Event::TopUpNews(holder) => self.top_up_news(now, holder),
+            Event::TopUpVisible(holder) => self.on_top_up_visible(now, holder),
             Event::Arrive(request) => {
                 let holder = self.arrivals[request].holder;
                 self.obtain(now, request, holder);
@@ -131,33 +131,37 @@
                 }
             }
             Event::Deadline { request, holder } => self.deadline(now, request, holder),
-            Event::Silence { holder, since } => self.on_timeout(now, holder, since),
-            Event::Submit(holder, sent) => self.submit(now, holder, sent),
+            Event::Timeout { holder, since } => self.on_timeout(now, holder, since),
+            Event::Submit(holder, submission) => self.submit(now, holder, submission),
             Event::Flush => self.flush(now),
             Event::Commit => self.commit(now),
-            Event::LedgerReply(holder, heard) => self.on_reply(now, holder, heard),
+            Event::LedgerReply(holder, reply) => self.on_reply(now, holder, reply),
             Event::Relay(relay) => self.relay_to(now, relay),
             Event::Sample => self.sample(now),
         }
     }
 
     fn top_up(&mut self, now: Micros, index: usize) {
-        if let Some(out) = self.setup.out.filter(|out| out.has(now)) {
-            return self.agenda.put(out.until, Event::TopUp(index));
+        if let Some(log_outage) = self
+            .setup
+            .log_outage
+            .filter(|log_outage| log_outage.has(now))
+        {
+            return self.agenda.schedule(log_outage.until, Event::TopUp(index));
         }
         self.ledger.top_up(index, self.setup.top_ups[index].1);
         self.flush_soon(now);
         for holder in 0..self.holders.len() {
-            let at = self.after_cut(holder, now + TOP_UP_DELAY);
-            self.agenda.put(at, Event::TopUpNews(holder));
+            let at = self.after_partition(holder, now + TOP_UP_DELAY);
+            self.agenda.schedule(at, Event::TopUpVisible(holder));
         }
     }
 
-    fn top_up_news(&mut self, now: Micros, holder: usize) {
+    fn on_top_up_visible(&mut self, now: Micros, holder: usize) {
         let known = self.ledger.topped_up();
         let state = &mut self.holders[holder];
         if known > state.topped_up {
-            let free = state.news.free + (known - state.topped_up);
+            let free = state.last_claim.free + (known - state.topped_up);
             state.topped_up = known;
             state.sizing.on_budget(now, known, free, state.sharers);
         }
@@ -174,11 +178,12 @@
             cost: self.arrivals[request].cost,
             since: now,
             until: now + CLAIM_TIMEOUT,
-            may_relay: self.plan.relay && self.relays[request].is_none(),
+            may_relay: self.policy.relay && self.relays[request].is_none(),
         };
         self.holders[holder].waiters.push(waiter);
         let until = waiter.until;
-        self.agenda.put(until, Event::Deadline { request, holder });
+        self.agenda
+            .schedule(until, Event::Deadline { request, holder });
         self.poll(now, holder);
         // An earlier claim result may already decide the request.
         if self.is_waiting(holder, request) {
@@ -201,10 +206,10 @@
         self.reserved += arrival.cost;
         if self.counter.counted.has(arrival.at) {
             let side = self.outcome.side(self.setup, arrival.holder, arrival.at);
-            side.taken += 1;
+            side.admitted += 1;
         }
         let end = Event::End { request, holder };
-        self.agenda.put(now + arrival.time, end);
+        self.agenda.schedule(now + arrival.time, end);
         if is_low {
             self.poll(now, holder);
         }
@@ -234,13 +239,13 @@
             Action::Claim(size) => {
                 state.seq += 1;
                 state.pending = Some(Pending { since: now });
-                let sent = Submission::Claim {
+                let submission = Submission::Claim {
                     seq: state.seq,
                     need: size.need,
                     want: size.want,
                 };
                 self.await_answer(now, holder);
-                self.send(now, holder, sent);
+                self.send(now, holder, submission);
             }
             Action::Return(amount) => {
                 state.pending = Some(Pending { since: now });
@@ -248,7 +253,7 @@
                 self.send(now, holder, Submission::Return(amount));
             }
             Action::Nothing { is_short: true } => {
-                state.news.at = Some(now);
+                state.last_claim.at = Some(now);
                 self.poll_at(holder, now + WAITER_POLL_INTERVAL);
                 self.retry_waiters(now, holder);
             }
@@ -258,12 +263,12 @@
 
     fn poll_at(&mut self, holder: usize, at: Micros) {
         self.holders[holder].poll_at = at;
-        self.agenda.put(at, Event::Poll(holder));
+        self.agenda.schedule(at, Event::Poll(holder));
     }
 
     fn await_answer(&mut self, now: Micros, holder: usize) {
-        let silence = Event::Silence { holder, since: now };
-        self.agenda.put(now + SUBMIT_TIMEOUT, silence);
+        let timeout = Event::Timeout { holder, since: now };
+        self.agenda.schedule(now + SUBMIT_TIMEOUT, timeout);
     }
 
     fn on_timeout(&mut self, now: Micros, holder: usize, since: Micros) {
@@ -276,8 +281,8 @@
             return;
         }
         state.on_failed(now);
-        let silence = Event::Silence { holder, since };
-        self.agenda.put(now + SUBMIT_TIMEOUT, silence);
+        let timeout = Event::Timeout { holder, since };
+        self.agenda.schedule(now + SUBMIT_TIMEOUT, timeout);
         self.retry_waiters(now, holder);
     }
 
@@ -299,9 +304,7 @@
         match step {
             ShortfallAction::Wait => {}
             ShortfallAction::Relay(_) => self.relay(now, holder, waiter, peers),
-            ShortfallAction::Refuse(refusal) => {
-                self.relay_or_refuse(now, holder, waiter, refusal.kind)
-            }
+            ShortfallAction::Refuse(refusal) => self.fall_back(now, holder, waiter, refusal.kind),
         }
     }
 
@@ -311,11 +314,11 @@
             return;
         };
         let waiter = *waiter;
-        self.relay_or_refuse(now, holder, waiter, RefusalKind::LogUnavailable);
+        self.fall_back(now, holder, waiter, RefusalKind::LogUnavailable);
     }
 
     /// Handles a request that this holder can't serve: relays or refuses it.
-    fn relay_or_refuse(&mut self, now: Micros, holder: usize, waiter: Waiter, kind: RefusalKind) {
+    fn fall_back(&mut self, now: Micros, holder: usize, waiter: Waiter, kind: RefusalKind) {
         if waiter.may_relay && kind != RefusalKind::NoBudget {
             // Like the router, try some peers even if no holders are known.
             let count = self.holders.len();
@@ -351,19 +354,22 @@
             return self.refuse(now, request);
         };
         let origin = self.arrivals[request].holder;
-        let is_cut = self.setup.is_cut(origin, now) != self.setup.is_cut(peer, now);
+        let is_partitioned =
+            self.setup.is_partitioned(origin, now) != self.setup.is_partitioned(peer, now);
         let relay = Relay {
             request,
             peers: vec![peer],
         };
-        if is_cut {
+        if is_partitioned {
             let none = Relay {
                 request,
                 peers: Vec::new(),
             };
-            return self.agenda.put(now + CONNECT_TIMEOUT, Event::Relay(none));
+            return self
+                .agenda
+                .schedule(now + CONNECT_TIMEOUT, Event::Relay(none));
         }
-        self.agenda.put(now + HOP_DELAY, Event::Relay(relay));
+        self.agenda.schedule(now + HOP_DELAY, Event::Relay(relay));
     }
 
     fn relay_to(&mut self, now: Micros, relay: Relay) {
@@ -384,8 +390,8 @@
         if left < i128::from(arrival.cost) {
             return;
         }
-        side.with_rest += 1;
-        side.false_refused += u64::from(self.counter.taken[request]);
+        side.funded_refused += 1;
+        side.false_refused += u64::from(self.counter.admitted[request]);
     }
 
     fn leave(&mut self, holder: usize, request: usize) {
@@ -394,13 +400,13 @@
     }
 
     /// Sends a record to the ledger; during a partition, delays it until the partition ends.
-    fn send(&mut self, now: Micros, holder: usize, sent: Submission) {
-        let at = self.after_cut(holder, now + HOP_DELAY);
-        self.agenda.put(at, Event::Submit(holder, sent));
+    fn send(&mut self, now: Micros, holder: usize, submission: Submission) {
+        let at = self.after_partition(holder, now + HOP_DELAY);
+        self.agenda.schedule(at, Event::Submit(holder, submission));
     }
 
-    fn submit(&mut self, now: Micros, holder: usize, sent: Submission) {
-        match sent {
+    fn submit(&mut self, now: Micros, holder: usize, submission: Submission) {
+        match submission {
             Submission::Claim { seq, need, want } => self.ledger.claim(holder, seq, need, want),
             Submission::Return(amount) => self.ledger.give_back(holder, amount),
             Submission::Charge(request) => {
@@ -414,34 +420,38 @@
     fn flush_soon(&mut self, now: Micros) {
         if !self.is_flushing {
             self.is_flushing = true;
-            self.agenda.put(now + BATCH, Event::Flush);
+            self.agenda.schedule(now + BATCH, Event::Flush);
         }
     }
 
     fn flush(&mut self, now: Micros) {
-        let at = match self.setup.out.filter(|out| out.has(now)) {
-            Some(out) => out.until,
+        let at = match self
+            .setup
+            .log_outage
+            .filter(|log_outage| log_outage.has(now))
+        {
+            Some(log_outage) => log_outage.until,
             None => now + APPEND,
         };
-        self.agenda.put(at, Event::Commit);
+        self.agenda.schedule(at, Event::Commit);
     }
 
     fn commit(&mut self, now: Micros) {
-        let heard = self.ledger.commit();
+        let replies = self.ledger.commit();
         self.is_flushing = false;
-        for (holder, heard) in heard {
-            let at = self.after_cut(holder, now + HOP_DELAY);
-            self.agenda.put(at, Event::LedgerReply(holder, heard));
+        for (holder, reply) in replies {
+            let at = self.after_partition(holder, now + HOP_DELAY);
+            self.agenda.schedule(at, Event::LedgerReply(holder, reply));
         }
         if self.ledger.is_waiting() {
             self.flush_soon(now);
         }
     }
 
-    fn on_reply(&mut self, now: Micros, holder: usize, heard: LedgerReply) {
+    fn on_reply(&mut self, now: Micros, holder: usize, reply: LedgerReply) {
         let state = &mut self.holders[holder];
-        match heard {
-            LedgerReply::Claim(fate) => state.on_claimed(now, &fate, self.plan.credits),
+        match reply {
+            LedgerReply::Claim(fate) => state.on_claimed(now, &fate, self.policy.credits),
             LedgerReply::Returned => state.pending = None,
         }
         self.poll(now, holder);
@@ -449,30 +459,30 @@
     }
 
     /// Returns the given time, or the end of the partition that the holder is in then.
-    fn after_cut(&self, holder: usize, at: Micros) -> Micros {
-        match self.setup.cut {
-            Some(cut) if self.setup.is_cut(holder, at) => cut.until,
+    fn after_partition(&self, holder: usize, at: Micros) -> Micros {
+        match self.setup.partition {
+            Some(partition) if self.setup.is_partitioned(holder, at) => partition.until,
             _ => at,
         }
     }
 
     fn sample(&mut self, now: Micros) {
-        self.agenda.put(now + SEC, Event::Sample);
+        self.agenda.schedule(now + SEC, Event::Sample);
         if !self.counter.counted.has(now) {
             return;
         }
         let mut all = 0;
-        let mut cut = 0;
+        let mut partition = 0;
         for (index, holder) in self.holders.iter().enumerate() {
             let free = holder.grant.available();
             all += free;
-            if self.setup.is_cut(index, now) {
-                cut += free;
+            if self.setup.is_partitioned(index, now) {
+                partition += free;
             }
         }
         self.held.add(all as f64);
-        if self.setup.cut.is_some_and(|window| window.has(now)) {
-            self.held_cut.add(cut as f64);
+        if self.setup.partition.is_some_and(|window| window.has(now)) {
+            self.held_partitioned.add(partition as f64);
         }
         self.outcome.left = all;
     }
--- a/crates/bench/src/limits/mod.rs
+++ b/crates/bench/src/limits/mod.rs
@@ -5,7 +5,7 @@
 mod retries;
 mod setup;
 
-pub use overload::{Outcome, World};
+pub use overload::{Outcome, Simulation};
 pub use setup::{CLASSES, Class, Setup};
 
 use crate::row::Rows;
--- a/crates/bench/src/limits/overload.rs
+++ b/crates/bench/src/limits/overload.rs
@@ -8,7 +8,7 @@
 
 use super::setup::{CLASSES, SERVICE, SLOTS, Setup};
 use crate::agenda::Agenda;
-use crate::draw::{SEC, around, below, gap, generator};
+use crate::draw::{SEC, generator, log_normal, poisson_gap, uniform};
 use crate::row::Rows;
 
 /// Spread of the service times.
@@ -22,32 +22,32 @@
 
 /// Counts of one priority class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Served {
+pub struct ClassOutcome {
     /// First attempts of requests.
     pub offered: u64,
     /// Answers within the deadline.
-    pub good: u64,
+    pub in_time: u64,
     /// Latencies from the arrival of the admitted attempt to the answer (µs).
     pub times: Vec<Micros>,
     /// Attempts refused on arrival.
     pub refused: u64,
     /// Wait times of entries admitted to the queue and dropped later (µs).
-    pub given_up: Vec<Micros>,
+    pub expired: Vec<Micros>,
     /// Attempts made after a retry-after time.
-    pub returns: u64,
+    pub retries: u64,
     /// Of these, admitted.
-    pub returns_taken: u64,
+    pub retries_admitted: u64,
     /// Of the admitted ones, dropped later.
-    pub returns_lost: u64,
+    pub retries_expired: u64,
     /// Retry-after times of the refusals (µs).
-    pub told: Vec<Micros>,
+    pub retry_after: Vec<Micros>,
 }
 
 /// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Counts of each class, highest priority first.
-    pub classes: Vec<Served>,
+    pub classes: Vec<ClassOutcome>,
     /// Length of the counted window (s).
     pub secs: f64,
 }
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
-    Return {
+    Retry {
         class: usize,
         key: u64,
     },
@@ -65,19 +65,19 @@
         start: Micros,
         due: Micros,
     },
-    Look,
+    Expire,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     class: usize,
     since: Micros,
-    is_return: bool,
+    is_retry: bool,
 }
 
 /// A simulation of the queue.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     setup: &'a Setup,
     queue: Queue<Waiting>,
     agenda: Agenda<Event>,
@@ -87,7 +87,7 @@
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Creates a simulation with the real queue.
     #[must_use]
     pub fn new(setup: &'a Setup, seed: u64) -> Self {
@@ -110,7 +110,7 @@
             times: generator(seed, 2),
             next_key: 0,
             outcome: Outcome {
-                classes: vec![Served::default(); CLASSES.len()],
+                classes: vec![ClassOutcome::default(); CLASSES.len()],
                 secs: counted,
             },
         }
@@ -119,7 +119,7 @@
     /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> Outcome {
-        self.agenda.put(0, Event::Look);
+        self.agenda.schedule(0, Event::Expire);
         for class in 0..CLASSES.len() {
             self.arrive_next(0, class);
         }
@@ -129,24 +129,24 @@
             }
             match event {
                 Event::Arrive(class) => self.arrive(now, class),
-                Event::Return { class, key } => self.push(now, class, key, true),
+                Event::Retry { class, key } => self.push(now, class, key, true),
                 Event::Done {
                     class,
                     since,
                     start,
                     due,
                 } => self.done(now, class, since, start, due),
-                Event::Look => {
-                    self.agenda.put(now + EXPIRY_INTERVAL, Event::Look);
-                    self.give_up(now);
+                Event::Expire => {
+                    self.agenda.schedule(now + EXPIRY_INTERVAL, Event::Expire);
+                    self.expire(now);
                 }
             }
             self.dispatch(now);
         }
         for class in &mut self.outcome.classes {
             class.times.sort_unstable();
-            class.given_up.sort_unstable();
-            class.told.sort_unstable();
+            class.expired.sort_unstable();
+            class.retry_after.sort_unstable();
         }
         self.outcome
     }
@@ -157,8 +157,8 @@
 
     fn arrive_next(&mut self, now: Micros, class: usize) {
         let rate = Setup::capacity() * self.setup.load * CLASSES[class].share;
-        let wait = gap(&mut self.demand, rate);
-        self.agenda.put(now + wait, Event::Arrive(class));
+        let wait = poisson_gap(&mut self.demand, rate);
+        self.agenda.schedule(now + wait, Event::Arrive(class));
     }
 
     fn arrive(&mut self, now: Micros, class: usize) {
@@ -170,7 +170,7 @@
         self.push(now, class, self.next_key, false);
     }
 
-    fn push(&mut self, now: Micros, class: usize, key: u64, is_return: bool) {
+    fn push(&mut self, now: Micros, class: usize, key: u64, is_retry: bool) {
         let name = if self.setup.classes {
             CLASSES[class].name
         } else {
@@ -184,15 +184,15 @@
             payload: Waiting {
                 class,
                 since: now,
-                is_return,
+                is_retry,
             },
         };
         let pushed = self.queue.push(entry, now);
         let counts = self.counts(now);
         let served = &mut self.outcome.classes[class];
-        if counts && is_return {
-            served.returns += 1;
-            served.returns_taken += u64::from(pushed.is_ok());
+        if counts && is_retry {
+            served.retries += 1;
+            served.retries_admitted += u64::from(pushed.is_ok());
         }
         let Err(refusal) = pushed else {
             return;
@@ -203,26 +203,27 @@
         self.schedule_retry(now, class, key, &refusal);
     }
 
-    /// Schedules the caller's retry after the retry-after time, rounded to whole seconds as in the header.
+    /// Schedules the caller's retry after the retry-after time, rounded up to whole
+    /// seconds as in the header.
     fn schedule_retry(&mut self, now: Micros, class: usize, key: u64, refusal: &Refusal) {
-        let told = refusal.retry_after.unwrap_or(Duration::from_secs(1));
-        let secs = told.as_micros().div_ceil(u128::from(SEC)) as u64;
+        let retry_after = refusal.retry_after.unwrap_or(Duration::from_secs(1));
+        let secs = retry_after.as_micros().div_ceil(u128::from(SEC)) as u64;
         if self.counts(now) {
-            self.outcome.classes[class].told.push(secs * SEC);
+            self.outcome.classes[class].retry_after.push(secs * SEC);
         }
-        let late = below(&mut self.demand, MAX_RETRY_JITTER);
-        let back = Event::Return { class, key };
-        self.agenda.put(now + secs * SEC + late, back);
+        let jitter = uniform(&mut self.demand, MAX_RETRY_JITTER);
+        let retry = Event::Retry { class, key };
+        self.agenda.schedule(now + secs * SEC + jitter, retry);
     }
 
-    fn give_up(&mut self, now: Micros) {
+    fn expire(&mut self, now: Micros) {
         for given in self.queue.take_expired(now) {
             let waiting = given.entry.payload;
             let counts = self.counts(now);
             let served = &mut self.outcome.classes[waiting.class];
             if counts {
-                served.given_up.push(now - waiting.since);
-                served.returns_lost += u64::from(waiting.is_return);
+                served.expired.push(now - waiting.since);
+                served.retries_expired += u64::from(waiting.is_retry);
             }
             self.schedule_retry(now, waiting.class, given.entry.key, &given.refusal);
         }
@@ -230,16 +231,16 @@
 
     fn dispatch(&mut self, now: Micros) {
         while let Some((_ticket, entry)) = self.queue.pop(now) {
-            let time = around(&mut self.times, SERVICE, SPREAD);
+            let time = log_normal(&mut self.times, SERVICE, SPREAD);
             let done = Event::Done {
                 class: entry.payload.class,
                 since: entry.payload.since,
                 start: now,
                 due: entry.deadline,
             };
-            self.agenda.put(now + time, done);
+            self.agenda.schedule(now + time, done);
         }
-        self.give_up(now);
+        self.expire(now);
     }
 
     fn done(&mut self, now: Micros, class: usize, since: Micros, start: Micros, due: Micros) {
@@ -248,7 +249,7 @@
             return;
         }
         let served = &mut self.outcome.classes[class];
-        served.good += u64::from(now <= due);
+        served.in_time += u64::from(now <= due);
         served.times.push(now - since);
     }
 }
@@ -258,7 +259,7 @@
     let run_all = |classes| {
         LOADS.map(|load| {
             let setup = Setup::at(load, classes, quick);
-            World::new(&setup, seed).run()
+            Simulation::new(&setup, seed).run()
         })
     };
     let policies = [("one-class", run_all(false)), ("classes", run_all(true))];
@@ -275,8 +276,8 @@
     /// Answers within the deadline, per second.
     #[must_use]
     pub fn goodput(&self) -> f64 {
-        let good: u64 = self.classes.iter().map(|class| class.good).sum();
-        good as f64 / self.secs
+        let in_time: u64 = self.classes.iter().map(|class| class.in_time).sum();
+        in_time as f64 / self.secs
     }
 }
 
@@ -292,7 +293,7 @@
     let [high, middle, low] = &outcome.classes[..] else {
         return;
     };
-    let p99 = |class: &Served| quantile(&class.times, 0.99) / 1_000.0;
+    let p99 = |class: &ClassOutcome| quantile(&class.times, 0.99) / 1_000.0;
     add("goodput_per_s", outcome.goodput());
     add("goodput_of_peak_pct", 100.0 * outcome.goodput() / peak);
     add("high_p99_ms", p99(high));
@@ -307,28 +308,28 @@
     ] {
         add(
             metric,
-            100.0 * class.good as f64 / class.offered.max(1) as f64,
+            100.0 * class.in_time as f64 / class.offered.max(1) as f64,
         );
     }
-    let sum = |count: fn(&Served) -> u64| outcome.classes.iter().map(count).sum::<u64>();
-    let returns = sum(|class| class.returns);
-    if returns == 0 {
+    let sum = |count: fn(&ClassOutcome) -> u64| outcome.classes.iter().map(count).sum::<u64>();
+    let retries = sum(|class| class.retries);
+    if retries == 0 {
         return;
     }
-    let kept = sum(|class| class.returns_taken) - sum(|class| class.returns_lost);
-    add("returns", returns as f64);
-    add("returns_taken_pct", 100.0 * kept as f64 / returns as f64);
+    let kept = sum(|class| class.retries_admitted) - sum(|class| class.retries_expired);
+    add("returns", retries as f64);
+    add("returns_taken_pct", 100.0 * kept as f64 / retries as f64);
     for (metric, class) in [
         ("high_returns_taken_pct", high),
         ("middle_returns_taken_pct", middle),
         ("low_returns_taken_pct", low),
     ] {
-        if class.returns > 0 {
-            let kept = class.returns_taken - class.returns_lost;
-            add(metric, 100.0 * kept as f64 / class.returns as f64);
+        if class.retries > 0 {
+            let kept = class.retries_admitted - class.retries_expired;
+            add(metric, 100.0 * kept as f64 / class.retries as f64);
         }
     }
-    let given = sum(|class| class.given_up.len() as u64);
+    let given = sum(|class| class.expired.len() as u64);
     let refused = sum(|class| class.refused);
     add(
         "refused_at_once_pct",
@@ -336,12 +337,15 @@
     );
     let mut waits: Vec<Micros> = Vec::new();
     for class in &outcome.classes {
-        waits.extend(&class.given_up);
+        waits.extend(&class.expired);
         waits.extend(std::iter::repeat_n(0, class.refused as usize));
     }
     waits.sort_unstable();
     add("refusal_wait_p99_ms", quantile(&waits, 0.99) / 1_000.0);
-    add("low_told_p99_s", quantile(&low.told, 0.99) / SEC as f64);
+    add(
+        "low_told_p99_s",
+        quantile(&low.retry_after, 0.99) / SEC as f64,
+    );
 }
 
 fn quantile(sorted: &[Micros], quantile: f64) -> f64 {
--- a/crates/bench/src/limits/retries.rs
+++ b/crates/bench/src/limits/retries.rs
@@ -1,6 +1,6 @@
 //! Attempts per request while runners fail.
 
-use crate::routing::{Choice, Fault, Outcome, Retry, Setup, World};
+use crate::routing::{Choice, Fault, Outcome, Retry, Setup, Simulation};
 use crate::row::Rows;
 
 /// Number of runners, of which half or all fail.
@@ -22,8 +22,8 @@
         for (policy, choice, retry) in [
             ("random-always", Choice::Random, Retry::Always),
             ("random-budget", Choice::Random, Retry::Budget),
-            ("ours-always", Choice::Ours, Retry::Always),
-            ("ours-budget", Choice::Ours, Retry::Budget),
+            ("ours-always", Choice::ExpectedWait, Retry::Always),
+            ("ours-budget", Choice::ExpectedWait, Retry::Budget),
         ] {
             let setup = Setup {
                 faults: faults.clone(),
@@ -31,7 +31,7 @@
                 retry,
                 ..Setup::basic(name, quick)
             };
-            let outcome = World::new(&setup, choice, seed).run();
+            let outcome = Simulation::new(&setup, choice, seed).run();
             write(name, policy, &outcome, rows);
         }
     }
@@ -40,5 +40,10 @@
 fn write(scenario: &str, policy: &str, outcome: &Outcome, rows: &mut Rows) {
     let attempts = outcome.attempts as f64 / outcome.requests.max(1) as f64;
     rows.add(scenario, policy, "attempts_per_request", attempts);
-    rows.add(scenario, policy, "lost_pct", outcome.percent(outcome.lost));
+    rows.add(
+        scenario,
+        policy,
+        "lost_pct",
+        outcome.percent(outcome.failed),
+    );
 }
--- a/crates/bench/src/path/caller.rs
+++ b/crates/bench/src/path/caller.rs
@@ -22,13 +22,13 @@
 
 /// Target address and response form of a call.
 #[derive(Clone, Debug)]
-pub struct Side {
+pub struct Target {
     address: SocketAddr,
     authorization: Arc<str>,
     body: Bytes,
 }
 
-impl Side {
+impl Target {
     /// Creates the target for the server at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, stream: bool, secret: &str) -> Self {
@@ -59,7 +59,7 @@
 /// A connection to one side.
 #[derive(Debug)]
 pub struct Caller {
-    side: Side,
+    target: Target,
     sender: SendRequest<Full<Bytes>>,
 }
 
@@ -68,9 +68,9 @@
     ///
     /// # Errors
     /// Fails when the connection can't be opened.
-    pub async fn open(side: Side) -> anyhow::Result<Self> {
-        let sender = connect(side.address).await?;
-        Ok(Self { side, sender })
+    pub async fn open(target: Target) -> anyhow::Result<Self> {
+        let sender = connect(target.address).await?;
+        Ok(Self { target, sender })
     }
 
     /// Makes one call and reads its answer to the end.
@@ -80,14 +80,14 @@
     pub async fn call(&mut self) -> anyhow::Result<()> {
         let done = self.attempt().await;
         if done.is_err() || self.sender.is_closed() {
-            self.sender = connect(self.side.address).await?;
+            self.sender = connect(self.target.address).await?;
         }
         done
     }
 
     async fn attempt(&mut self) -> anyhow::Result<()> {
         self.sender.ready().await.context("the connection")?;
-        let answer = self.sender.send_request(self.side.request()).await;
+        let answer = self.sender.send_request(self.target.request()).await;
         let (head, mut body) = answer.context("the answer's head")?.into_parts();
         let mut text = BytesMut::new();
         while let Some(frame) = body.frame().await {
--- a/crates/bench/src/path/drive.rs
+++ b/crates/bench/src/path/drive.rs
@@ -10,12 +10,12 @@
 use hdrhistogram::Histogram;
 use tokio::task::JoinSet;
 
-use super::caller::{Caller, Side};
+use super::caller::{Caller, Target};
 
 /// Maximum failed calls printed in the whole run.
 const MAX_SHOWN_FAILURES: u64 = 3;
-static SEEN: AtomicU64 = AtomicU64::new(0);
-/// One warm-up call is made for every 10 measured calls.
+static FAILURES: AtomicU64 = AtomicU64::new(0);
+/// Measured calls per warm-up call.
 const CALLS_PER_WARMUP: u64 = 10;
 /// Nanoseconds in a millisecond.
 const MS: f64 = 1e6;
@@ -36,9 +36,9 @@
 
 /// Workload of a side.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct Workload {
     /// Number of connections.
-    pub conns: usize,
+    pub connections: usize,
     /// Number of threads that share the connections.
     pub threads: usize,
     /// Load pattern.
@@ -47,13 +47,13 @@
 
 /// Latencies of calls.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct CallStats {
     times: Histogram<u64>,
     failed: u64,
     busy: Duration,
 }
 
-impl Tally {
+impl CallStats {
     /// Creates an empty tally.
     #[must_use]
     pub fn new() -> Self {
@@ -66,7 +66,7 @@
     }
 
     /// Merges the calls of another turn.
-    pub fn join(&mut self, turn: &Self) {
+    pub fn merge(&mut self, turn: &Self) {
         self.add(turn);
         self.busy += turn.busy;
     }
@@ -101,10 +101,10 @@
         self.failed += other.failed;
     }
 
-    fn note(&mut self, done: &anyhow::Result<()>, time: Duration) {
+    fn record_call(&mut self, done: &anyhow::Result<()>, time: Duration) {
         if let Err(error) = done {
             self.failed += 1;
-            if SEEN.fetch_add(1, Ordering::Relaxed) < MAX_SHOWN_FAILURES {
+            if FAILURES.fetch_add(1, Ordering::Relaxed) < MAX_SHOWN_FAILURES {
                 eprintln!("a call failed: {error:#}");
             }
             return;
@@ -118,11 +118,11 @@
 ///
 /// # Errors
 /// Fails when a side can't be reached.
-pub async fn turns(sides: Vec<Side>, calls: u64) -> anyhow::Result<Vec<Tally>> {
+pub async fn turns(targets: Vec<Target>, calls: u64) -> anyhow::Result<Vec<CallStats>> {
     in_thread(async move {
         let mut lanes = Vec::new();
-        for side in sides {
-            lanes.push((Caller::open(side).await?, Tally::new()));
+        for target in targets {
+            lanes.push((Caller::open(target).await?, CallStats::new()));
         }
         for _warm in 0..calls / CALLS_PER_WARMUP {
             for (caller, _tally) in &mut lanes {
@@ -130,13 +130,13 @@
             }
         }
         for _call in 0..calls {
-            for (caller, tally) in &mut lanes {
+            for (caller, stats) in &mut lanes {
                 let start = Instant::now();
                 let done = caller.call().await;
-                tally.note(&done, start.elapsed());
+                stats.record_call(&done, start.elapsed());
             }
         }
-        Ok(lanes.into_iter().map(|(_caller, tally)| tally).collect())
+        Ok(lanes.into_iter().map(|(_caller, stats)| stats).collect())
     })
     .await
 }
@@ -145,29 +145,34 @@
 ///
 /// # Errors
 /// Fails when the side can't be reached.
-pub async fn drive(side: &Side, work: Work) -> anyhow::Result<Tally> {
+pub async fn drive(target: &Target, work: Workload) -> anyhow::Result<CallStats> {
     let barrier = Arc::new(Barrier::new(work.threads));
     let mut threads = Vec::new();
     for thread in 0..work.threads {
-        let (side, barrier) = (side.clone(), Arc::clone(&barrier));
+        let (target, barrier) = (target.clone(), Arc::clone(&barrier));
         threads.push(tokio::spawn(in_thread(async move {
-            share(side, work, thread, &barrier).await
+            share(target, work, thread, &barrier).await
         })));
     }
-    let mut tally = Tally::new();
+    let mut stats = CallStats::new();
     for thread in threads {
         let part = thread.await.context("a thread of callers")??;
-        tally.add(&part);
-        tally.busy = tally.busy.max(part.busy);
+        stats.add(&part);
+        stats.busy = stats.busy.max(part.busy);
     }
-    Ok(tally)
+    Ok(stats)
 }
 
 /// Runs one thread's share of the connections.
-async fn share(side: Side, work: Work, thread: usize, barrier: &Barrier) -> anyhow::Result<Tally> {
+async fn share(
+    target: Target,
+    work: Workload,
+    thread: usize,
+    barrier: &Barrier,
+) -> anyhow::Result<CallStats> {
     let mut callers = Vec::new();
-    for place in (thread..work.conns).step_by(work.threads) {
-        callers.push((place, warm(&side).await));
+    for place in (thread..work.connections).step_by(work.threads) {
+        callers.push((place, open_warmed_up(&target).await));
     }
     // Wait for all threads, so that no connection is opened under load.
     barrier.wait();
@@ -176,33 +181,33 @@
     for (place, caller) in callers {
         tasks.spawn(send(caller?, work, place, start));
     }
-    let mut tally = Tally::new();
+    let mut stats = CallStats::new();
     while let Some(part) = tasks.join_next().await {
-        tally.add(&part.context("a caller")?);
+        stats.add(&part.context("a caller")?);
     }
-    tally.busy = start.elapsed();
-    Ok(tally)
+    stats.busy = start.elapsed();
+    Ok(stats)
 }
 
-async fn warm(side: &Side) -> anyhow::Result<Caller> {
-    let mut caller = Caller::open(side.clone()).await?;
+async fn open_warmed_up(target: &Target) -> anyhow::Result<Caller> {
+    let mut caller = Caller::open(target.clone()).await?;
     caller.call().await?;
     Ok(caller)
 }
 
-async fn send(mut caller: Caller, work: Work, place: usize, start: Instant) -> Tally {
-    let mut tally = Tally::new();
+async fn send(mut caller: Caller, work: Workload, place: usize, start: Instant) -> CallStats {
+    let mut stats = CallStats::new();
     match work.load {
         Load::Closed(time) => {
             while start.elapsed() < time {
                 let begin = Instant::now();
                 let done = caller.call().await;
-                tally.note(&done, begin.elapsed());
+                stats.record_call(&done, begin.elapsed());
             }
         }
         Load::Open { rate, time } => {
-            let gap = Duration::from_secs_f64(work.conns as f64 / rate);
-            let mut due = start + gap.mul_f64(place as f64 / work.conns as f64);
+            let gap = Duration::from_secs_f64(work.connections as f64 / rate);
+            let mut due = start + gap.mul_f64(place as f64 / work.connections as f64);
             while due < start + time {
                 // An idle connection waits until the call is due, and the timer's error is not
                 // attributed to the server; a late call is timed from when it was due.
@@ -212,12 +217,12 @@
                     begin = Instant::now();
                 }
                 let done = caller.call().await;
-                tally.note(&done, begin.elapsed());
+                stats.record_call(&done, begin.elapsed());
                 due += gap;
             }
         }
     }
-    tally
+    stats
 }
 
 /// Runs a future on a thread and a runtime of its own.
--- a/crates/bench/src/path/idle.rs
+++ b/crates/bench/src/path/idle.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::process::{self, Counts};
-use super::{bed, sockets, usage};
+use super::{sockets, testbed, usage};
 use crate::row::Rows;
 
 /// Fleet sizes (VMs).
@@ -43,7 +43,7 @@
     time: Duration,
     rows: &mut Rows,
 ) -> anyhow::Result<()> {
-    let fleet = bed::start(vms, more).await?;
+    let fleet = testbed::start(vms, more).await?;
     sleep(SETTLE).await;
     let roles = process::children();
     let before: BTreeMap<u32, Counts> = all(&roles);
--- a/crates/bench/src/routing/mod.rs
+++ b/crates/bench/src/routing/mod.rs
@@ -8,9 +8,9 @@
 mod runner;
 mod scenario;
 mod setup;
-mod world;
+mod simulation;
 
 pub use outcome::Outcome;
 pub use scenario::run;
 pub use setup::{Choice, Fault, Prefixes, Retry, Setup};
-pub use world::World;
+pub use simulation::Simulation;
--- a/crates/bench/src/routing/outcome.rs
+++ b/crates/bench/src/routing/outcome.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Times to first token (µs); sorted at the end of the run.
-    pub firsts: Vec<Micros>,
+    pub first_token_times: Vec<Micros>,
     /// Requests that arrived.
     pub requests: u64,
     /// Attempts made for them.
     pub attempts: u64,
     /// Attempts sent to a faulty runner.
-    pub to_faulty: u64,
+    pub faulty_attempts: u64,
     /// Requests that ended with an error.
-    pub lost: u64,
+    pub failed: u64,
     /// Answered requests whose prefix was cached.
     pub hits: u64,
 }
@@ -25,7 +25,7 @@
     /// Returns a quantile of the times to first token, in ms.
     #[must_use]
     pub fn first_ms(&self, quantile: f64) -> f64 {
-        quantile_of(&self.firsts, quantile) as f64 / 1_000.0
+        quantile_of(&self.first_token_times, quantile) as f64 / 1_000.0
     }
 
     /// Returns a count per 100 requests.
--- a/crates/bench/src/routing/runner.rs
+++ b/crates/bench/src/routing/runner.rs
@@ -21,7 +21,7 @@
     running: usize,
     queue: VecDeque<usize>,
     cache: HashMap<u64, Micros>,
-    past: VecDeque<(u32, u32)>,
+    snapshots: VecDeque<(u32, u32)>,
 }
 
 impl Runner {
@@ -31,12 +31,12 @@
             running: 0,
             queue: VecDeque::new(),
             cache: HashMap::new(),
-            past: VecDeque::new(),
+            snapshots: VecDeque::new(),
         }
     }
 
     /// Slowdown factor relative to the other runners.
-    pub(crate) fn slowness(&self) -> f64 {
+    pub(crate) fn slowdown(&self) -> f64 {
         match self.fault {
             Some(Fault::Slow(factor)) => factor,
             _ => 1.0,
@@ -68,7 +68,7 @@
     }
 
     /// Returns whether the prefix was cached, and inserts it.
-    pub(crate) fn warm(&mut self, prefix: u64, now: Micros) -> bool {
+    pub(crate) fn touch_prefix(&mut self, prefix: u64, now: Micros) -> bool {
         let known = self.cache.insert(prefix, now).is_some();
         if self.cache.len() > CACHED_PREFIXES {
             let oldest = self.cache.iter().min_by_key(|(key, at)| (**at, **key));
@@ -81,25 +81,25 @@
     }
 
     /// Takes a snapshot of the load for later reports.
-    pub(crate) fn remember(&mut self) {
-        if self.past.len() == MAX_SNAPSHOTS {
-            self.past.pop_front();
+    pub(crate) fn take_snapshot(&mut self) {
+        if self.snapshots.len() == MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
         let state = (self.running as u32, self.queue.len() as u32);
-        self.past.push_back(state);
+        self.snapshots.push_back(state);
     }
 
     /// Returns the load report that arrives now, with an age of `lag`.
-    pub(crate) fn report(&self, lag: Micros) -> LoadReport {
-        let steps = (lag / SNAPSHOT_INTERVAL) as usize;
-        let at = self.past.len().saturating_sub(steps + 1);
-        let (running, waiting) = self.past.get(at).copied().unwrap_or_default();
+    pub(crate) fn report(&self, report_age: Micros) -> LoadReport {
+        let steps = (report_age / SNAPSHOT_INTERVAL) as usize;
+        let at = self.snapshots.len().saturating_sub(steps + 1);
+        let (running, waiting) = self.snapshots.get(at).copied().unwrap_or_default();
         LoadReport {
             running,
             waiting,
             slots: SLOTS as u32,
             draining: false,
-            age: Duration::from_micros(lag),
+            age: Duration::from_micros(report_age),
         }
     }
 }
--- a/crates/bench/src/routing/scenario.rs
+++ b/crates/bench/src/routing/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::outcome::Outcome;
 use super::setup::{Choice, Fault, Prefixes, Setup};
-use super::world::World;
+use super::simulation::Simulation;
 use crate::draw::{MS, SEC};
 use crate::row::Rows;
 
@@ -19,7 +19,7 @@
 pub fn run(seed: u64, quick: bool, rows: &mut Rows) {
     for setup in setups(quick) {
         for choice in Choice::ALL {
-            let outcome = World::new(&setup, choice, seed).run();
+            let outcome = Simulation::new(&setup, choice, seed).run();
             write(&setup, choice.name(), &outcome, rows);
         }
     }
@@ -33,15 +33,18 @@
     add("ttft_p99_ms", outcome.first_ms(0.99));
     add("prefix_hits_pct", outcome.percent(outcome.hits));
     if !setup.faults.is_empty() {
-        add("to_faulty_pct", outcome.percent(outcome.to_faulty));
-        add("lost_pct", outcome.percent(outcome.lost));
+        add("to_faulty_pct", outcome.percent(outcome.faulty_attempts));
+        add("lost_pct", outcome.percent(outcome.failed));
     }
 }
 
 fn setups(quick: bool) -> Vec<Setup> {
     let basic = |name| Setup::basic(name, quick);
     let many = |name| many(name, quick);
-    let lagged = |name, lag| Setup { lag, ..basic(name) };
+    let lagged = |name, report_age| Setup {
+        report_age,
+        ..basic(name)
+    };
     let faulty = |setup: Setup, fault| Setup {
         faults: vec![fault],
         ..setup
@@ -80,7 +83,7 @@
         },
         Setup {
             poll: 5 * SEC,
-            lag: 5 * SEC,
+            report_age: 5 * SEC,
             ..basic("routing-poll-5s-lag-5s")
         },
         many("routing-600"),
--- a/crates/bench/src/routing/setup.rs
+++ b/crates/bench/src/routing/setup.rs
@@ -58,7 +58,7 @@
     /// Interval between a router's polls of one runner.
     pub poll: Micros,
     /// Age of a load report when it arrives.
-    pub lag: Micros,
+    pub report_age: Micros,
     /// Faults of the first runners.
     pub faults: Vec<Fault>,
     /// Prefixes of the prompts.
@@ -82,7 +82,7 @@
             subset: 0,
             load: 0.7,
             poll: 500 * MS,
-            lag: SEC,
+            report_age: SEC,
             faults: Vec::new(),
             prefixes: Prefixes {
                 share: 0.6,
@@ -118,7 +118,7 @@
     /// The same, with outlier ejection of failing runners.
     TwoEjecting,
     /// Least expected time to first token, with outlier ejection.
-    Ours,
+    ExpectedWait,
 }
 
 impl Choice {
@@ -129,7 +129,7 @@
         Self::LeastReported,
         Self::TwoChoices,
         Self::TwoEjecting,
-        Self::Ours,
+        Self::ExpectedWait,
     ];
 
     /// Name in the output rows.
@@ -141,7 +141,7 @@
             Self::LeastReported => "least-reported",
             Self::TwoChoices => "two-choices",
             Self::TwoEjecting => "two-choices-ejecting",
-            Self::Ours => "ours",
+            Self::ExpectedWait => "ours",
         }
     }
 
@@ -151,13 +151,13 @@
             Self::RoundRobin => Box::new(RoundRobin::default()),
             Self::LeastReported => Box::new(LeastReported),
             Self::TwoChoices | Self::TwoEjecting => Box::new(TwoChoices),
-            Self::Ours => Box::new(ExpectedWait::default()),
+            Self::ExpectedWait => Box::new(ExpectedWait::default()),
         }
     }
 
     pub(crate) fn health(self) -> HealthPolicy {
         match self {
-            Self::TwoEjecting | Self::Ours => HealthPolicy::default(),
+            Self::TwoEjecting | Self::ExpectedWait => HealthPolicy::default(),
             _ => HealthPolicy::off(),
         }
     }
--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/simulation.rs
@@ -10,7 +10,7 @@
 use super::runner::{Runner, SNAPSHOT_INTERVAL};
 use super::setup::{Choice, FIRST_TOKEN_US, Fault, REMAINDER_US, Retry, SLOTS, Setup};
 use crate::agenda::Agenda;
-use crate::draw::{MS, around, below, gap, generator, unit, weighted};
+use crate::draw::{MS, generator, log_normal, poisson_gap, uniform, unit, weighted};
 
 /// Number of failure domains.
 const DOMAINS: usize = 4;
@@ -35,7 +35,7 @@
     End(usize),
     Fail(usize),
     Poll { router: usize, member: usize },
-    Remember,
+    Snapshot,
 }
 
 #[derive(Debug)]
@@ -48,18 +48,18 @@
 #[derive(Debug)]
 struct Request {
     router: usize,
-    came: Micros,
+    arrived: Micros,
     prefix: u64,
     attempts: u32,
     tried: Vec<ServerIdx>,
     runner: usize,
     sent: Option<Dispatch>,
-    is_warm: bool,
+    is_prefix_cached: bool,
 }
 
 /// A simulation of one policy.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     setup: &'a Setup,
     routers: Vec<Router>,
     runners: Vec<Runner>,
@@ -69,13 +69,13 @@
     agenda: Agenda<Event>,
     /// Separate generators for demand, policy and runners, so that every policy gets the
     /// same demand.
-    demand: Pcg64Mcg,
-    chance: Pcg64Mcg,
-    times: Pcg64Mcg,
+    demand_rng: Pcg64Mcg,
+    policy_rng: Pcg64Mcg,
+    runner_rng: Pcg64Mcg,
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Creates a simulation of the policy.
     #[must_use]
     pub fn new(setup: &'a Setup, choice: Choice, seed: u64) -> Self {
@@ -94,9 +94,9 @@
                 .map(|rank| (rank as f64).powf(-setup.prefixes.skew))
                 .collect(),
             agenda: Agenda::new(),
-            demand: generator(seed, 1),
-            chance: generator(seed, 2),
-            times: generator(seed, 3),
+            demand_rng: generator(seed, 1),
+            policy_rng: generator(seed, 2),
+            runner_rng: generator(seed, 3),
             outcome: Outcome::default(),
         }
     }
@@ -111,36 +111,36 @@
             }
             match event {
                 Event::Arrive => self.arrive(now),
-                Event::Start(request) => self.reach(now, request),
+                Event::Start(request) => self.on_arrival(now, request),
                 Event::First(request) => self.first(now, request),
                 Event::End(request) => self.end(now, request),
                 Event::Fail(request) => self.fail(now, request),
                 Event::Poll { router, member } => self.poll(now, router, member),
-                Event::Remember => self.remember(now),
+                Event::Snapshot => self.take_snapshot(now),
             }
         }
-        self.outcome.firsts.sort_unstable();
+        self.outcome.first_token_times.sort_unstable();
         self.outcome
     }
 
     fn begin(&mut self) {
-        self.agenda.put(0, Event::Remember);
-        self.agenda.put(0, Event::Arrive);
+        self.agenda.schedule(0, Event::Snapshot);
+        self.agenda.schedule(0, Event::Arrive);
         for (router, state) in self.routers.iter().enumerate() {
             for member in 0..state.members.len() {
-                let at = below(&mut self.chance, self.setup.poll);
-                self.agenda.put(at, Event::Poll { router, member });
+                let at = uniform(&mut self.policy_rng, self.setup.poll);
+                self.agenda.schedule(at, Event::Poll { router, member });
             }
         }
     }
 
     fn arrive(&mut self, now: Micros) {
-        let wait = gap(&mut self.demand, self.setup.rate());
-        self.agenda.put(now + wait, Event::Arrive);
-        let router = below(&mut self.demand, self.routers.len() as u64) as usize;
+        let wait = poisson_gap(&mut self.demand_rng, self.setup.rate());
+        self.agenda.schedule(now + wait, Event::Arrive);
+        let router = uniform(&mut self.demand_rng, self.routers.len() as u64) as usize;
         let number = self.requests.len();
-        let is_known = unit(&mut self.demand) < self.setup.prefixes.share;
-        let rank = weighted(&mut self.demand, &self.weights);
+        let is_known = unit(&mut self.demand_rng) < self.setup.prefixes.share;
+        let rank = weighted(&mut self.demand_rng, &self.weights);
         let prefix = if is_known {
             hash(rank as u64)
         } else {
@@ -148,13 +148,13 @@
         };
         self.requests.push(Request {
             router,
-            came: now,
+            arrived: now,
             prefix,
             attempts: 0,
             tried: Vec::new(),
             runner: 0,
             sent: None,
-            is_warm: false,
+            is_prefix_cached: false,
         });
         if self.counts(number) {
             self.outcome.requests += 1;
@@ -163,7 +163,7 @@
     }
 
     fn counts(&self, request: usize) -> bool {
-        self.requests[request].came >= self.setup.warm_up
+        self.requests[request].arrived >= self.setup.warm_up
     }
 
     fn send(&mut self, now: Micros, number: usize) {
@@ -179,9 +179,9 @@
             may_probe: true,
             ..PickArgs::default()
         };
-        let Some(sent) = router.fleet.send(&pick, &mut self.chance) else {
+        let Some(sent) = router.fleet.send(&pick, &mut self.policy_rng) else {
             if counts {
-                self.outcome.lost += 1;
+                self.outcome.failed += 1;
             }
             return;
         };
@@ -195,18 +195,20 @@
         if counts {
             self.outcome.attempts += 1;
             let is_faulty = self.runners[request.runner].fault.is_some();
-            self.outcome.to_faulty += u64::from(is_faulty);
+            self.outcome.faulty_attempts += u64::from(is_faulty);
         }
-        self.agenda.put(now + hop, Event::Start(number));
+        self.agenda.schedule(now + hop, Event::Start(number));
     }
 
     /// Handles the arrival of a request at its runner.
-    fn reach(&mut self, now: Micros, number: usize) {
+    fn on_arrival(&mut self, now: Micros, number: usize) {
         let runner = self.requests[number].runner;
         if let Some(Fault::Fails(share)) = self.runners[runner].fault
-            && unit(&mut self.times) < share
+            && unit(&mut self.runner_rng) < share
         {
-            return self.agenda.put(now + FAILURE_DELAY, Event::Fail(number));
+            return self
+                .agenda
+                .schedule(now + FAILURE_DELAY, Event::Fail(number));
         }
         if self.runners[runner].take(number) {
             self.start(now, number);
@@ -216,23 +218,24 @@
     fn start(&mut self, now: Micros, number: usize) {
         let request = &mut self.requests[number];
         let runner = &mut self.runners[request.runner];
-        request.is_warm = runner.warm(request.prefix, now);
-        let part = if request.is_warm {
+        request.is_prefix_cached = runner.touch_prefix(request.prefix, now);
+        let part = if request.is_prefix_cached {
             CACHED_PREFIX_FACTOR
         } else {
             1.0
         };
-        let mean = FIRST_TOKEN_US * part * (1.0 + runner.load()) * runner.slowness();
-        let first = around(&mut self.times, mean, FIRST_SPREAD);
-        let rest = around(
-            &mut self.times,
-            REMAINDER_US * runner.slowness(),
+        let mean = FIRST_TOKEN_US * part * (1.0 + runner.load()) * runner.slowdown();
+        let first = log_normal(&mut self.runner_rng, mean, FIRST_SPREAD);
+        let rest = log_normal(
+            &mut self.runner_rng,
+            REMAINDER_US * runner.slowdown(),
             REST_SPREAD,
         );
         let hop = hop(request.router, request.runner);
-        self.agenda.put(now + first + hop, Event::First(number));
         self.agenda
-            .put(now + first + rest + hop, Event::End(number));
+            .schedule(now + first + hop, Event::First(number));
+        self.agenda
+            .schedule(now + first + rest + hop, Event::End(number));
     }
 
     fn first(&mut self, now: Micros, number: usize) {
@@ -243,8 +246,8 @@
             router.fleet.on_first_token(sent, now);
         }
         if counts {
-            self.outcome.firsts.push(now - request.came);
-            self.outcome.hits += u64::from(request.is_warm);
+            self.outcome.first_token_times.push(now - request.arrived);
+            self.outcome.hits += u64::from(request.is_prefix_cached);
         }
     }
 
@@ -267,30 +270,31 @@
         if let Some(sent) = request.sent.take() {
             router.fleet.on_error(sent, now, ErrorKind::Status);
         }
-        let may = request.attempts < MAX_ATTEMPTS;
-        let may = may && (self.setup.retry == Retry::Always || router.retries.take());
-        if may {
+        let may_retry = request.attempts < MAX_ATTEMPTS;
+        let may_retry = may_retry && (self.setup.retry == Retry::Always || router.retries.take());
+        if may_retry {
             return self.send(now, number);
         }
         if counts {
-            self.outcome.lost += 1;
+            self.outcome.failed += 1;
         }
     }
 
     fn poll(&mut self, now: Micros, router: usize, member: usize) {
         let state = &mut self.routers[router];
         let (idx, runner) = state.members[member];
-        let report = self.runners[runner].report(self.setup.lag);
+        let report = self.runners[runner].report(self.setup.report_age);
         state.fleet.on_report(idx, now, report);
         self.agenda
-            .put(now + self.setup.poll, Event::Poll { router, member });
+            .schedule(now + self.setup.poll, Event::Poll { router, member });
     }
 
-    fn remember(&mut self, now: Micros) {
+    fn take_snapshot(&mut self, now: Micros) {
         for runner in &mut self.runners {
-            runner.remember();
+            runner.take_snapshot();
         }
-        self.agenda.put(now + SNAPSHOT_INTERVAL, Event::Remember);
+        self.agenda
+            .schedule(now + SNAPSHOT_INTERVAL, Event::Snapshot);
     }
 }
 
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -100,7 +100,7 @@
     options.optopt("", "scenario", &format!("only one of: {names}"), "NAME");
     options.optflag("", "quick", "smaller runs, to try the drivers");
     options.optopt("", "markdown", "write tables of the rows too", "FILE");
-    let found = options.parse(args).context("wrong arguments")?;
+    let found = options.parse(args).context("invalid arguments")?;
     if found.opt_present("help") {
         let usage = options.usage("Usage: swiftlink-bench [options]");
         write!(out, "{usage}").context("can't write the help")?;
@@ -113,7 +113,7 @@
     if let Some(name) = &scenario
         && !DRIVERS.iter().any(|driver| driver.name == name)
     {
-        bail!("no scenario {name}; there are: {names}");
+        bail!("unknown scenario {name}; available: {names}");
     }
     Ok(Some(Args {
         seed: found.opt_get_default("seed", SEED).context("--seed")?,
--- a/crates/bench/tests/grants.rs
+++ b/crates/bench/tests/grants.rs
@@ -1,6 +1,8 @@
 //! The grants driver is deterministic, and detects a policy that credits grants twice.
 
-use swiftlink_bench::grants::{Counted, Outcome, Plan, Setup, Size, Window, World, arrivals};
+use swiftlink_bench::grants::{
+    Counted, Outcome, PolicySpec, Setup, Simulation, Size, Window, arrivals,
+};
 
 const SEC: u64 = 1_000_000;
 
@@ -16,62 +18,65 @@
             (0, Setup::demand(20.0, 30)),
             (30 * SEC, Setup::demand(20.0, 30)),
         ],
-        cut: Some(Window {
+        partition: Some(Window {
             from: 20 * SEC,
             until: 60 * SEC,
         }),
-        out: None,
+        log_outage: None,
         counted: Counted::All,
     }
 }
 
-fn run(plan: &Plan, seed: u64) -> Outcome {
+fn run(policy: &PolicySpec, seed: u64) -> Outcome {
     let setup = small();
     let arrivals = arrivals(&setup, seed);
-    World::new(&setup, plan, &arrivals).run()
+    Simulation::new(&setup, policy, &arrivals).run()
 }
 
-fn plans() -> [Plan; 4] {
+fn policies() -> [PolicySpec; 4] {
     [
-        Plan::new("even", Size::Even, false),
-        Plan::new("chunk", Size::Chunk(5_000), false),
-        Plan::demand("demand", 10, 1.0, false),
-        Plan::demand("relay", 30, 3.0, true),
+        PolicySpec::new("even", Size::Even, false),
+        PolicySpec::new("chunk", Size::Chunk(5_000), false),
+        PolicySpec::demand("demand", 10, 1.0, false),
+        PolicySpec::demand("relay", 30, 3.0, true),
     ]
 }
 
 #[test]
 fn equal_seeds_give_equal_outcomes() {
-    for plan in plans() {
-        assert_eq!(run(&plan, 7), run(&plan, 7), "{}", plan.name);
+    for policy in policies() {
+        assert_eq!(run(&policy, 7), run(&policy, 7), "{}", policy.name);
     }
-    assert_ne!(run(&plans()[2], 7), run(&plans()[2], 8));
+    assert_ne!(run(&policies()[2], 7), run(&policies()[2], 8));
 }
 
 #[test]
 fn no_policy_overspends() {
     for seed in 0..8 {
-        for plan in plans() {
-            let outcome = run(&plan, seed);
-            assert_eq!(outcome.overspend, 0, "{} seed {seed}", plan.name);
-            assert_eq!(outcome.void, 0, "{} seed {seed}", plan.name);
-            assert!(outcome.outside.taken > 0, "{} seed {seed}", plan.name);
+        for policy in policies() {
+            let outcome = run(&policy, seed);
+            assert_eq!(outcome.overspend, 0, "{} seed {seed}", policy.name);
+            assert_eq!(outcome.void_charges, 0, "{} seed {seed}", policy.name);
+            assert!(outcome.outside.admitted > 0, "{} seed {seed}", policy.name);
         }
     }
 }
 
 #[test]
 fn a_grant_credited_twice_shows_as_overspend() {
-    let mut plan = Plan::demand("twice", 10, 1.0, true);
-    plan.credits = 2;
-    let outcome = run(&plan, 1);
+    let mut policy = PolicySpec::demand("twice", 10, 1.0, true);
+    policy.credits = 2;
+    let outcome = run(&policy, 1);
     assert!(outcome.overspend > 0);
-    assert!(outcome.void > 0, "the fold counts no charge without rights");
+    assert!(
+        outcome.void_charges > 0,
+        "the fold applies no charge without quota"
+    );
 }
 
 #[test]
 fn refusals_in_the_partition_are_counted_separately() {
-    let outcome = run(&Plan::demand("demand", 2, 1.0, true), 1);
+    let outcome = run(&PolicySpec::demand("demand", 2, 1.0, true), 1);
     assert!(outcome.inside.false_refused > 0);
     assert!(outcome.inside.false_share() > outcome.outside.false_share());
 }
--- a/crates/bench/tests/limits.rs
+++ b/crates/bench/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The limits driver is deterministic, and refuses requests only under overload.
 
-use swiftlink_bench::limits::{Outcome, Setup, World};
+use swiftlink_bench::limits::{Outcome, Setup, Simulation};
 
 const SEC: u64 = 1_000_000;
 
@@ -10,7 +10,7 @@
         warm_up: 10 * SEC,
         ..Setup::at(load, true, true)
     };
-    World::new(&setup, seed).run()
+    Simulation::new(&setup, seed).run()
 }
 
 #[test]
@@ -36,8 +36,8 @@
 fn what_is_counted_adds_up() {
     let outcome = run(2.0, 1);
     for class in &outcome.classes {
-        assert!(class.good <= class.times.len() as u64);
-        assert!(class.returns_taken <= class.returns);
-        assert!(class.returns_lost <= class.returns_taken);
+        assert!(class.in_time <= class.times.len() as u64);
+        assert!(class.retries_admitted <= class.retries);
+        assert!(class.retries_expired <= class.retries_admitted);
     }
 }
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -1,6 +1,6 @@
 //! The routing driver is deterministic, and shows the effect of failing runners.
 
-use swiftlink_bench::routing::{Choice, Fault, Outcome, Retry, Setup, World};
+use swiftlink_bench::routing::{Choice, Fault, Outcome, Retry, Setup, Simulation};
 
 const SEC: u64 = 1_000_000;
 
@@ -16,7 +16,7 @@
 }
 
 fn run(setup: &Setup, choice: Choice, seed: u64) -> Outcome {
-    World::new(setup, choice, seed).run()
+    Simulation::new(setup, choice, seed).run()
 }
 
 #[test]
@@ -25,18 +25,21 @@
     for choice in Choice::ALL {
         let one = run(&setup, choice, 3);
         assert_eq!(one, run(&setup, choice, 3), "{}", choice.name());
-        assert!(!one.firsts.is_empty(), "{}", choice.name());
+        assert!(!one.first_token_times.is_empty(), "{}", choice.name());
     }
-    assert_ne!(run(&setup, Choice::Ours, 3), run(&setup, Choice::Ours, 4));
+    assert_ne!(
+        run(&setup, Choice::ExpectedWait, 3),
+        run(&setup, Choice::ExpectedWait, 4)
+    );
 }
 
 #[test]
 fn load_reports_alone_attract_requests_to_a_failing_runner() {
     let setup = small(vec![Fault::Fails(1.0)]);
     let naive = run(&setup, Choice::LeastReported, 1);
-    let ours = run(&setup, Choice::Ours, 1);
-    assert!(naive.lost > 0);
-    assert!(ours.to_faulty < naive.to_faulty);
+    let ours = run(&setup, Choice::ExpectedWait, 1);
+    assert!(naive.failed > 0);
+    assert!(ours.faulty_attempts < naive.faulty_attempts);
 }
 
 #[test]
@@ -48,5 +51,5 @@
     let always = run(&setup, Choice::Random, 1);
     assert_eq!(always.attempts, 3 * always.requests);
     assert!(saved.attempts < 2 * saved.requests);
-    assert_eq!(saved.lost, saved.requests);
+    assert_eq!(saved.failed, saved.requests);
 }
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -3,13 +3,13 @@
 # an operator and the stand-ins, all on free loopback ports; applies the sample
 # resources, sends a request through two routers, and stays up until Ctrl-C.
 #
-# SIGINT, SIGTERM and SIGHUP end it, and all that it started. A shell makes what a
-# script starts in the background ignore SIGINT, which no trap can take back; GNU env
-# does it here, and without that use SIGTERM.
+# SIGINT, SIGTERM and SIGHUP stop it and every process that it started. A shell starts
+# background jobs with SIGINT ignored, which no trap can undo; GNU env resets it here.
+# Without GNU env, use SIGTERM.
 #
-# --once: ends by itself after the requests. The last line is then
+# --once: exits after the requests. The last line is then
 #   charged=N served=N answers=N
-# tokens charged by the log, tokens that the engines ran, whole answers received.
+# tokens charged by the log, tokens that the engines ran, complete answers received.
 set -euo pipefail
 
 if [[ -n $(trap -p INT) ]] && env --default-signal=INT true 2>/dev/null; then
@@ -21,17 +21,17 @@
 readonly BUDGET=registry-2026
 readonly MODEL=registry-model
 readonly API_KEY=sample-key-of-the-notaries
-readonly FIRST_PORT=14000      # below the range that the system hands out itself
+readonly FIRST_PORT=14000      # below the ephemeral port range
 readonly PORT_COUNT=16000
-readonly WAIT_TRIES=300        # times 0.1 s
-readonly STOP_TRIES=100        # times 0.1 s
+readonly WAIT_TRIES=300        # intervals of 0.1 s
+readonly STOP_TRIES=100        # intervals of 0.1 s
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 once=no
 work=
-idle=                          # pid of the sleep between requests and the end
+idle=                          # pid of the sleep that runs until a signal
 next_port=$((FIRST_PORT + $$ * 37 % PORT_COUNT))
-daemons=()                     # pids, in the order of their stop
+daemons=()                     # pids, in stop order
 standins=()
 
 usage() {
@@ -54,7 +54,7 @@
     kill -0 "$1" 2>/dev/null
 }
 
-# Ends the processes with these pids: SIGTERM, and SIGKILL for those that stay.
+# Stops the given pids: SIGTERM, then SIGKILL for those that do not exit.
 end_all() {
     local pid try=0
     for pid in "$@"; do
@@ -65,7 +65,7 @@
             sleep 0.1
         done
         if is_alive "$pid"; then
-            printf 'quickstart: process %s did not end by itself\n' "$pid" >&2
+            printf 'quickstart: process %s did not exit on SIGTERM\n' "$pid" >&2
             kill -KILL "$pid" 2>/dev/null || true
         fi
         wait "$pid" 2>/dev/null || true
@@ -74,7 +74,7 @@
 
 clean_up() {
     local status=$?
-    # A second signal must not cut this short.
+    # A second signal must not interrupt the cleanup.
     trap '' INT TERM HUP
     trap - EXIT
     end_all "${daemons[@]}"
@@ -84,7 +84,7 @@
     exit "$status"
 }
 
-# Sets `port` to the next one that nothing listens on.
+# Sets `port` to the next port without a listener.
 free_port() {
     local try
     for ((try = 0; try < PORT_COUNT; try++)); do
@@ -97,7 +97,7 @@
     die "no free port from $FIRST_PORT on"
 }
 
-# Sets `address` to where the stand-in of kind $1, started as $2, listens.
+# Starts the stand-in of kind $1 under the name $2; sets `address` to its listener.
 start_standin() {
     local kind=$1 name=$2 try pid
     shift 2
@@ -107,13 +107,13 @@
     for ((try = 0; try < WAIT_TRIES; try++)); do
         address=$(sed -n 's/^listening=//p' "$work/$name.log")
         [[ -z $address ]] || return 0
-        is_alive "$pid" || die "$name has ended"
+        is_alive "$pid" || die "$name has exited"
         sleep 0.1
     done
-    die "$name does not listen"
+    die "$name did not start to listen"
 }
 
-# Starts the daemon of role $1 under the name $2, and waits for its status at $3.
+# Starts the daemon of role $1 under the name $2, and waits until $3 serves its status.
 start_daemon() {
     local role=$1 name=$2 admin=$3 try pid
     "$bin/swiftlink-$role" --settings "$work/$name.toml" >"$work/$name.log" 2>&1 &
@@ -121,10 +121,10 @@
     daemons+=("$pid")
     for ((try = 0; try < WAIT_TRIES; try++)); do
         ! curl -sf "http://$admin/status" >/dev/null 2>&1 || return 0
-        is_alive "$pid" || die "$name has ended"
+        is_alive "$pid" || die "$name has exited"
         sleep 0.1
     done
-    die "$name gives no status at $admin"
+    die "$name serves no status at $admin"
 }
 
 common_settings() {
@@ -133,7 +133,7 @@
         "$at" "${DOMAINS[at]}" "$listen" "$admin" "$secret"
 }
 
-# A link to another process, as a table of the list $1.
+# Prints a link to another process, as an entry of the table array $1.
 link_settings() {
     printf '\n[[%s]]\nname = "vm-%s"\naddress = "%s"\ndomain = "%s"\n' \
         "$1" "$2" "$3" "${DOMAINS[$2]}"
@@ -175,7 +175,7 @@
     printf '\n[[processes]]\nname = "%s"\nrole = "%s"\nadmin = "%s"\n' "$1" "$2" "$3"
 }
 
-# The sample resources, with the addresses of the stand-ins in place of the sample's.
+# Writes the sample resources with the addresses of the stand-ins.
 write_resources() {
     sed -e "s/127\.0\.0\.1:9001/${engines[0]}/" \
         -e "s/127\.0\.0\.1:9002/${engines[1]}/" \
@@ -196,15 +196,15 @@
         fi
         sleep 0.1
     done
-    die "the sample resources were not applied"
+    die "could not apply the sample resources"
 }
 
-# A number of the JSON text on the standard input.
+# Prints the number under the key $1 in the JSON text on standard input.
 number_of() {
     grep -o "\"$1\": *[0-9]*" | head -n 1 | grep -o '[0-9]*$'
 }
 
-# Waits until each router has joined and has the operator's version in force.
+# Waits until each router has joined and runs the operator's configuration version.
 wait_for_routers() {
     local version admin status try
     version=$(curl -sf "http://$operator_admin/status" | number_of config_version)
@@ -225,8 +225,8 @@
     operator_cli budget "$BUDGET" -o json | number_of charged
 }
 
-# Asks router $1 with the prompt $2; $3 is true for a stream. Counts whole answers
-# and what they were charged.
+# Sends the prompt $2 to router $1; $3 is true for a stream. Counts complete answers
+# and their charges.
 ask() {
     local answer charged
     answer=$(curl -sS --max-time 60 "http://$1/v1/chat/completions" \
@@ -243,7 +243,7 @@
     answers=$((answers + 1))
 }
 
-# Tokens that the engines of the model ran.
+# Prints the tokens that the engines of the model ran.
 tokens_served() {
     local engine
     for engine in "${engines[@]:0:2}"; do
@@ -345,7 +345,7 @@
 say "Budget before:"
 operator_cli budget "$BUDGET"
 say ""
-say "A whole answer through the router in ${DOMAINS[0]}:"
+say "An unstreamed answer through the router in ${DOMAINS[0]}:"
 ask "${routers[0]}" "Who owned parcel 1204 before 1950?" false
 say ""
 say "A streamed answer through the router in ${DOMAINS[2]}:"
@@ -357,7 +357,7 @@
 
 if [[ $once == no ]]; then
     print_addresses
-    # A signal ends the wait through its trap at once; a foreground sleep would hold it up.
+    # A trap interrupts `wait` at once; a foreground sleep would delay it.
     while :; do
         sleep 3600 &
         idle=$!
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,8 +1,8 @@
-//! Writes the Rust types of `crates/wire/proto` into `crates/wire/src/generated`.
+//! Generates the Rust types of `crates/wire/proto` into `crates/wire/src/generated`.
 //!
 //! Run from the repository's root: `cargo run --manifest-path tools/codegen/Cargo.toml`.
-//! With `--check` nothing is written and the exit code is 1 when the committed
-//! files are not current.
+//! With `--check` it writes nothing and exits with code 1 if the committed files are
+//! out of date.
 
 use std::fs;
 use std::path::Path;
@@ -23,9 +23,9 @@
     let fresh = std::env::temp_dir().join(format!("swiftlink-codegen-{}", std::process::id()));
     fs::create_dir_all(&fresh)?;
     generate(&fresh)?;
-    let verdict = if check { compare(&fresh) } else { install(&fresh) };
+    let result = if check { compare(&fresh) } else { install(&fresh) };
     fs::remove_dir_all(&fresh)?;
-    verdict
+    result
 }
 
 fn generate(out: &Path) -> Result<()> {
@@ -40,10 +40,10 @@
     for name in OUTPUTS {
         let committed = fs::read(Path::new(OUT_DIR).join(name))?;
         if committed != fs::read(fresh.join(name))? {
-            bail!("{OUT_DIR}/{name} is not current: run the generator");
+            bail!("{OUT_DIR}/{name} is out of date: run the generator");
         }
     }
-    println!("generated code is current");
+    println!("generated code is up to date");
     Ok(())
 }
 
