--- a/crates/bench/src/cost/decisions.rs
+++ b/crates/bench/src/cost/decisions.rs
@@ -182,7 +182,9 @@
             may_probe: true,
             ..PickArgs::default()
         };
-        let sent = fleet.send(&pick, &mut rng).expect("all are able");
+        let sent = fleet
+            .send(&pick, &mut rng)
+            .expect("every runner is eligible");
         fleet.on_abandoned(sent, now);
     })
 }
--- a/crates/bench/src/grants/simulation.rs
+++ b/crates/bench/src/grants/simulation.rs
@@ -472,17 +472,17 @@
             return;
         }
         let mut all = 0;
-        let mut partition = 0;
+        let mut partitioned = 0;
         for (index, holder) in self.holders.iter().enumerate() {
             let free = holder.grant.available();
             all += free;
             if self.setup.is_partitioned(index, now) {
-                partition += free;
+                partitioned += free;
             }
         }
         self.held.add(all as f64);
         if self.setup.partition.is_some_and(|window| window.has(now)) {
-            self.held_partitioned.add(partition as f64);
+            self.held_partitioned.add(partitioned as f64);
         }
         self.outcome.left = all;
     }
--- a/crates/bench/tests/limits.rs
+++ b/crates/bench/tests/limits.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_is_counted_adds_up() {
+fn class_counts_are_consistent() {
     let outcome = run(2.0, 1);
     for class in &outcome.classes {
         assert!(class.in_time <= class.times.len() as u64);
