--- a/crates/bench/src/cost/config.rs
+++ b/crates/bench/src/cost/config.rs
@@ -1,4 +1,4 @@
-//! The resource fold at the letter's size: bytes, and time for each change.
+//! The resource fold at full scale: bytes, and time of each change.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 use swiftlink_resource::Fold;
 use swiftlink_wire::log as wire;
 
-use super::meter::{cost, held, line, timed};
+use super::meter::{cost, fit_line, held, timed};
 use super::sizes;
 use crate::row::Rows;
 
-/// Budgets for each workspace: 11,000 of 26,000.
+/// Budgets per workspace, as a ratio: 11,000 budgets to 26,000 workspaces.
 const BUDGETS: (usize, usize) = (11, 26);
-/// Backend servers, at all sizes.
+/// Backend servers, the same at every size.
 const SERVERS: usize = 600;
-/// Changes that are timed.
+/// Number of timed changes.
 const CHANGES: usize = 50;
-/// Looks that are timed in one round.
+/// Timed scans per round.
 const SCANS: usize = 50;
-/// Changes in one set while the state is built.
-const SET: usize = 500;
+/// Changes per change set while the state is built.
+const CHANGES_PER_SET: usize = 500;
 
 pub(super) fn run(quick: bool, rows: &mut Rows) {
     let sizes = sizes([6_500, 13_000, 26_000], quick);
@@ -60,30 +60,30 @@
         shared.push((x, in_use));
     }
     if !bytes.is_empty() {
-        rows.add("config-workspaces", "slope", "bytes", line(&bytes).0);
+        rows.add("config-workspaces", "slope", "bytes", fit_line(&bytes).0);
     }
     rows.add(
         "config-workspaces",
         "slope",
         "topup_scan_us",
-        line(&scans).0,
+        fit_line(&scans).0,
     );
     rows.add(
         "config-workspaces",
         "slope",
         "change_alone_ms",
-        line(&times).0,
+        fit_line(&times).0,
     );
     rows.add(
         "config-workspaces",
         "slope",
         "change_in_use_ms",
-        line(&shared).0,
+        fit_line(&shared).0,
     );
 }
 
-/// Time of one look for the top-ups of a budget, as a router's claimer makes it each
-/// time that it looks at its demand.
+/// Time of one scan (µs) for the top-ups of a budget. A router's claimer makes this
+/// scan each time it evaluates its demand.
 fn scan_us(fold: &Fold) -> f64 {
     let config = fold.config();
     let scan = || {
@@ -94,8 +94,8 @@
     cost(SCANS, scan).nanos / 1e3
 }
 
-/// Mean time of a change to one workspace. A router keeps the version before in use,
-/// so that the fold works on a copy.
+/// Mean time (ms) of a change to one workspace. A router keeps the previous version
+/// in use, so the fold works on a copy.
 fn change_ms(fold: &mut Fold, size: usize, in_use: bool) -> f64 {
     let mut kept = None;
     let mut total = 0.0;
@@ -154,7 +154,7 @@
         list.push(change("server", format!("server-{number}"), 0, spec));
     }
     let mut fold = Fold::default();
-    for (number, changes) in list.chunks(SET).enumerate() {
+    for (number, changes) in list.chunks(CHANGES_PER_SET).enumerate() {
         let fate = fold.decide(
             number as u64,
             &set(format!("set-{number}"), changes.to_vec()),
--- a/crates/bench/src/grants/counter.rs
+++ b/crates/bench/src/grants/counter.rs
@@ -1,4 +1,4 @@
-//! The all-seeing counter: one budget, every request, no distance.
+//! The global counter: an ideal limiter that sees every request of the budget at once.
 
 use swiftlink_types::{Micros, Tokens};
 
@@ -6,14 +6,14 @@
 use crate::agenda::Agenda;
 use crate::draw::SEC;
 
-/// Time after the counter's last request that is still counted.
-const AFTER: Micros = 10 * SEC;
+/// Time after the last request admitted by the counter that is still counted.
+const COUNT_MARGIN: Micros = 10 * SEC;
 
-/// What the counter made of the demand.
+/// Result of the global counter for the demand.
 #[derive(Debug)]
 pub(crate) struct Counter {
-    /// Whether it took each request.
-    pub(crate) taken: Vec<bool>,
+    /// Whether it admitted each request.
+    pub(crate) admitted: Vec<bool>,
     /// The part of the run that is counted.
     pub(crate) counted: Window,
 }
@@ -24,16 +24,16 @@
     End(usize),
 }
 
-/// Runs the counter over the demand.
+/// Runs the global counter over the demand.
 pub(crate) fn count(setup: &Setup, arrivals: &[Arrival]) -> Counter {
     let mut agenda = Agenda::new();
     for (at, amount) in &setup.top_ups {
-        agenda.put(*at, Event::TopUp(*amount));
+        agenda.schedule(*at, Event::TopUp(*amount));
     }
     for (index, arrival) in arrivals.iter().enumerate() {
-        agenda.put(arrival.at, Event::Arrive(index));
+        agenda.schedule(arrival.at, Event::Arrive(index));
     }
-    let mut taken = vec![false; arrivals.len()];
+    let mut admitted = vec![false; arrivals.len()];
     let (mut paid, mut spent, mut reserved) = (0, 0, 0);
     let mut from = None;
     let mut last = 0;
@@ -46,9 +46,9 @@
                     continue;
                 }
                 reserved += arrival.cost;
-                taken[index] = true;
+                admitted[index] = true;
                 last = now;
-                agenda.put(now + arrival.time, Event::End(index));
+                agenda.schedule(now + arrival.time, Event::End(index));
             }
             Event::End(index) => {
                 reserved -= arrivals[index].cost;
@@ -69,8 +69,8 @@
         },
         Counted::Tail(_) => Window {
             from: from.unwrap_or(0),
-            until: last + AFTER,
+            until: last + COUNT_MARGIN,
         },
     };
-    Counter { taken, counted }
+    Counter { admitted, counted }
 }
--- a/crates/bench/src/grants/outcome.rs
+++ b/crates/bench/src/grants/outcome.rs
@@ -1,105 +1,105 @@
-//! What is counted in a run.
+//! Results of a run.
 
 use swiftlink_types::{Micros, Tokens};
 
 use super::setup::Setup;
 
-/// Counts of one side of a cut.
+/// Request counts on one side of a network partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Side {
-    /// Requests that the all-seeing counter took.
+    /// Requests that the global counter admitted.
     pub counter: u64,
-    /// Requests taken.
-    pub taken: u64,
+    /// Requests admitted.
+    pub admitted: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Requests refused while the budget had enough for them, all rests together.
-    pub with_rest: u64,
-    /// Of these, requests that the all-seeing counter took.
+    /// Requests refused while the whole budget had enough unreserved tokens for them.
+    pub funded_refused: u64,
+    /// Of these, the ones that the global counter admitted.
     pub false_refused: u64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Most tokens spent beyond what was paid in, at any moment.
+    /// Maximum over time of the tokens spent beyond the top-ups.
     pub overspend: Tokens,
-    /// Charges that the fold did not count.
-    pub void: u64,
-    /// Where nothing is cut.
+    /// Charges that the fold did not apply.
+    pub void_charges: u64,
+    /// Counts outside the partition.
     pub outside: Side,
-    /// In the domain that is cut off, during the cut.
+    /// Counts in the partitioned domain, during the partition.
     pub inside: Side,
     /// Requests that were relayed.
     pub relayed: u64,
-    /// Requests that came, counted or not.
+    /// Requests that arrived, counted or not.
     pub requests: u64,
-    /// Claims and returns.
-    pub moves: u64,
-    /// Appends, with those of charges.
+    /// Number of claims and returns.
+    pub transfers: u64,
+    /// Number of appends, including those of charges.
     pub appends: u64,
-    /// Tokens held free at the holders, on average.
+    /// Mean of the unreserved tokens at the holders.
     pub held: f64,
-    /// Of these behind the cut while it lasts, on average.
-    pub held_cut: f64,
-    /// Tokens left free at the holders at the end of what is counted.
+    /// Mean of the unreserved tokens in the partitioned domain, during the partition.
+    pub held_partitioned: f64,
+    /// Unreserved tokens at the holders at the end of the counted window.
     pub left: Tokens,
 }
 
 impl Side {
     fn add(&mut self, other: &Self) {
         self.counter += other.counter;
-        self.taken += other.taken;
+        self.admitted += other.admitted;
         self.refused += other.refused;
-        self.with_rest += other.with_rest;
+        self.funded_refused += other.funded_refused;
         self.false_refused += other.false_refused;
     }
 
-    /// False refusals as a share of what the all-seeing counter took.
+    /// False refusals as a share of the requests that the global counter admitted.
     #[must_use]
     pub fn false_share(&self) -> f64 {
         share(self.false_refused, self.counter)
     }
 
-    /// Refusals with enough left in all rests together, as a share of the same.
+    /// Refusals while the whole budget had enough tokens, as a share of the same.
     #[must_use]
-    pub fn rest_share(&self) -> f64 {
-        share(self.with_rest, self.counter)
+    pub fn funded_share(&self) -> f64 {
+        share(self.funded_refused, self.counter)
     }
 
-    /// What is missing against the all-seeing counter, as a share.
+    /// Shortfall of admitted requests against the global counter, as a share.
     #[must_use]
     pub fn missing_share(&self) -> f64 {
-        share(self.counter.saturating_sub(self.taken), self.counter)
+        share(self.counter.saturating_sub(self.admitted), self.counter)
     }
 }
 
 impl Outcome {
-    /// Adds the counts of another run; the most of what must be 0.
+    /// Adds the counts of another run; values that must be 0 take the maximum.
     pub(crate) fn add(&mut self, other: &Self) {
         self.overspend = self.overspend.max(other.overspend);
-        self.void = self.void.max(other.void);
+        self.void_charges = self.void_charges.max(other.void_charges);
         self.outside.add(&other.outside);
         self.inside.add(&other.inside);
         self.relayed += other.relayed;
         self.requests += other.requests;
-        self.moves += other.moves;
+        self.transfers += other.transfers;
         self.appends += other.appends;
         self.held += other.held;
-        self.held_cut += other.held_cut;
+        self.held_partitioned += other.held_partitioned;
         self.left += other.left;
     }
 
-    /// Makes means of the sums of `runs` runs; shares need none.
+    /// Turns sums over `runs` runs into means; shares are independent of the number of runs.
     pub(crate) fn divide(&mut self, runs: u64) {
         self.held /= runs as f64;
-        self.held_cut /= runs as f64;
+        self.held_partitioned /= runs as f64;
         self.left /= runs;
     }
 
-    /// The side that a request belongs to.
+    /// Returns the side of the partition that a request belongs to.
     pub(crate) fn side(&mut self, setup: &Setup, holder: usize, at: Micros) -> &mut Side {
-        if setup.is_cut(holder, at) {
+        if setup.is_partitioned(holder, at) {
             &mut self.inside
         } else {
             &mut self.outside
@@ -107,7 +107,7 @@
     }
 }
 
-/// Mean of samples taken in even steps.
+/// Mean of samples taken at equal intervals.
 #[derive(Debug, Default)]
 pub(crate) struct Average {
     sum: f64,
--- a/crates/bench/src/grants/world.rs
+++ b/crates/bench/src/grants/simulation.rs
@@ -1,83 +1,83 @@
-//! The run: events in virtual time between holders and the ledger.
+//! The simulation: events in virtual time between holders and the ledger.
 
 use swiftlink_admission::ShortfallAction;
 use swiftlink_types::{Micros, RefusalKind, Tokens};
 
 use super::counter::{Counter, count};
-use super::event::{Event, Relay, Sent};
-use super::holder::{Holder, Move, Pending, Waiter};
-use super::ledger::Heard;
+use super::event::{Event, Relay, Submission};
+use super::holder::{Action, Holder, Pending, Waiter};
 use super::ledger::Ledger;
+use super::ledger::LedgerReply;
 use super::outcome::{Average, Outcome};
-use super::setup::{Arrival, Plan, Setup};
+use super::setup::{Arrival, PolicySpec, Setup};
 use crate::agenda::Agenda;
 use crate::draw::{MS, SEC};
 
-/// One-way time between a holder and the ledger.
-const HOP: Micros = MS;
-/// Least time between appends, and the time of one.
+/// One-way latency between a holder and the ledger.
+const HOP_DELAY: Micros = MS;
+/// Minimum interval between appends, and the latency of one.
 const BATCH: Micros = 5 * MS;
 const APPEND: Micros = 10 * MS;
-/// Longest wait for rights.
-const CLAIM_WAIT: Micros = SEC;
-/// Time without an answer after which a claim counts as failed, and then each time.
-const SUBMIT_WAIT: Micros = SEC;
-/// Time between looks at the demand.
-const TICK: Micros = 500 * MS;
-/// The same while a request waits that the last answer stands for.
-const TOLD_PAUSE: Micros = 5 * MS;
-/// Time until a holder hears of a top-up.
-const NEWS_LAG: Micros = SEC;
-/// Time until a connection that can't be made counts as failed.
-const CONNECT: Micros = 500 * MS;
-/// Peers that one request is relayed to at most, one after the other.
-const PEERS_MAX: usize = 2;
-
-/// One run of one policy.
+/// Maximum wait of a request for quota.
+const CLAIM_TIMEOUT: Micros = SEC;
+/// Time without a reply after which a claim counts as failed; repeats until a reply.
+const SUBMIT_TIMEOUT: Micros = SEC;
+/// Interval between demand evaluations.
+const POLL_INTERVAL: Micros = 500 * MS;
+/// Evaluation interval while a request waits but the last claim result still stands.
+const WAITER_POLL_INTERVAL: Micros = 5 * MS;
+/// Delay until a holder learns of a top-up.
+const TOP_UP_DELAY: Micros = SEC;
+/// Connection timeout.
+const CONNECT_TIMEOUT: Micros = 500 * MS;
+/// Maximum peers that one request is relayed to, in sequence.
+const MAX_PEERS: usize = 2;
+
+/// A simulation of one policy.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     setup: &'a Setup,
-    plan: &'a Plan,
+    policy: &'a PolicySpec,
     arrivals: &'a [Arrival],
     counter: Counter,
     agenda: Agenda<Event>,
     ledger: Ledger,
     holders: Vec<Holder>,
-    /// For each request the peers that are left to ask, once it was relayed.
+    /// Remaining candidate peers of each relayed request.
     relays: Vec<Option<Vec<usize>>>,
     is_flushing: bool,
     spent: Tokens,
     reserved: Tokens,
     held: Average,
-    held_cut: Average,
+    held_partitioned: Average,
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
-    /// A run of `plan` over the demand.
+impl<'a> Simulation<'a> {
+    /// Creates a simulation of `plan` over the demand.
     #[must_use]
-    pub fn new(setup: &'a Setup, plan: &'a Plan, arrivals: &'a [Arrival]) -> Self {
-        let count_of = setup.weights.len();
-        let holders = (0..count_of).map(|_| Holder::new(plan.sizing(count_of)));
+    pub fn new(setup: &'a Setup, policy: &'a PolicySpec, arrivals: &'a [Arrival]) -> Self {
+        let holder_count = setup.weights.len();
+        let holders = (0..holder_count).map(|_| Holder::new(policy.sizing(holder_count)));
         Self {
             setup,
-            plan,
+            policy,
             arrivals,
             counter: count(setup, arrivals),
             agenda: Agenda::new(),
-            ledger: Ledger::new(count_of),
+            ledger: Ledger::new(holder_count),
             holders: holders.collect(),
             relays: vec![None; arrivals.len()],
             is_flushing: false,
             spent: 0,
             reserved: 0,
             held: Average::default(),
-            held_cut: Average::default(),
+            held_partitioned: Average::default(),
             outcome: Outcome::default(),
         }
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> Outcome {
         self.begin();
@@ -92,34 +92,34 @@
 
     fn begin(&mut self) {
         for (index, (at, _)) in self.setup.top_ups.iter().enumerate() {
-            self.agenda.put(*at, Event::TopUp(index));
+            self.agenda.schedule(*at, Event::TopUp(index));
         }
         for (index, arrival) in self.arrivals.iter().enumerate() {
-            self.agenda.put(arrival.at, Event::Arrive(index));
+            self.agenda.schedule(arrival.at, Event::Arrive(index));
         }
-        self.agenda.put(SEC, Event::Sample);
+        self.agenda.schedule(SEC, Event::Sample);
     }
 
     fn finish(mut self) -> Outcome {
         for (index, arrival) in self.arrivals.iter().enumerate() {
-            if self.counter.taken[index] && self.counter.counted.has(arrival.at) {
+            if self.counter.admitted[index] && self.counter.counted.has(arrival.at) {
                 let side = self.outcome.side(self.setup, arrival.holder, arrival.at);
                 side.counter += 1;
             }
         }
         self.outcome.requests = self.arrivals.len() as u64;
-        self.outcome.void = self.ledger.void;
-        self.outcome.moves = self.ledger.moves;
+        self.outcome.void_charges = self.ledger.void_charges;
+        self.outcome.transfers = self.ledger.transfers;
         self.outcome.appends = self.ledger.appends;
         self.outcome.held = self.held.get();
-        self.outcome.held_cut = self.held_cut.get();
+        self.outcome.held_partitioned = self.held_partitioned.get();
         self.outcome
     }
 
     fn step(&mut self, now: Micros, event: Event) {
         match event {
             Event::TopUp(index) => self.top_up(now, index),
-            Event::TopUpNews(holder) => self.top_up_news(now, holder),
+            Event::TopUpVisible(holder) => self.on_top_up_visible(now, holder),
             Event::Arrive(request) => {
                 let holder = self.arrivals[request].holder;
                 self.obtain(now, request, holder);
@@ -131,40 +131,44 @@
                 }
             }
             Event::Deadline { request, holder } => self.deadline(now, request, holder),
-            Event::Silence { holder, since } => self.silence(now, holder, since),
-            Event::Submit(holder, sent) => self.submit(now, holder, sent),
+            Event::Timeout { holder, since } => self.on_timeout(now, holder, since),
+            Event::Submit(holder, submission) => self.submit(now, holder, submission),
             Event::Flush => self.flush(now),
             Event::Commit => self.commit(now),
-            Event::Heard(holder, heard) => self.heard(now, holder, heard),
+            Event::LedgerReply(holder, reply) => self.on_reply(now, holder, reply),
             Event::Relay(relay) => self.relay_to(now, relay),
             Event::Sample => self.sample(now),
         }
     }
 
     fn top_up(&mut self, now: Micros, index: usize) {
-        if let Some(out) = self.setup.out.filter(|out| out.has(now)) {
-            return self.agenda.put(out.until, Event::TopUp(index));
+        if let Some(log_outage) = self
+            .setup
+            .log_outage
+            .filter(|log_outage| log_outage.has(now))
+        {
+            return self.agenda.schedule(log_outage.until, Event::TopUp(index));
         }
         self.ledger.top_up(index, self.setup.top_ups[index].1);
         self.flush_soon(now);
         for holder in 0..self.holders.len() {
-            let at = self.after_cut(holder, now + NEWS_LAG);
-            self.agenda.put(at, Event::TopUpNews(holder));
+            let at = self.after_partition(holder, now + TOP_UP_DELAY);
+            self.agenda.schedule(at, Event::TopUpVisible(holder));
         }
     }
 
-    fn top_up_news(&mut self, now: Micros, holder: usize) {
+    fn on_top_up_visible(&mut self, now: Micros, holder: usize) {
         let known = self.ledger.topped_up();
         let state = &mut self.holders[holder];
         if known > state.topped_up {
-            let free = state.news.free + (known - state.topped_up);
+            let free = state.last_claim.free + (known - state.topped_up);
             state.topped_up = known;
             state.sizing.on_budget(now, known, free, state.sharers);
         }
         self.poll(now, holder);
     }
 
-    /// A request looks for rights at a holder.
+    /// Tries to reserve quota for a request at a holder.
     fn obtain(&mut self, now: Micros, request: usize, holder: usize) {
         if self.take(now, request, holder) {
             return;
@@ -173,14 +177,15 @@
             request,
             cost: self.arrivals[request].cost,
             since: now,
-            until: now + CLAIM_WAIT,
-            may_relay: self.plan.relay && self.relays[request].is_none(),
+            until: now + CLAIM_TIMEOUT,
+            may_relay: self.policy.relay && self.relays[request].is_none(),
         };
         self.holders[holder].waiters.push(waiter);
         let until = waiter.until;
-        self.agenda.put(until, Event::Deadline { request, holder });
+        self.agenda
+            .schedule(until, Event::Deadline { request, holder });
         self.poll(now, holder);
-        // The claim's answer may be long known.
+        // An earlier claim result may already decide the request.
         if self.is_waiting(holder, request) {
             self.decide(now, holder, waiter);
         }
@@ -201,10 +206,10 @@
         self.reserved += arrival.cost;
         if self.counter.counted.has(arrival.at) {
             let side = self.outcome.side(self.setup, arrival.holder, arrival.at);
-            side.taken += 1;
+            side.admitted += 1;
         }
         let end = Event::End { request, holder };
-        self.agenda.put(now + arrival.time, end);
+        self.agenda.schedule(now + arrival.time, end);
         if is_low {
             self.poll(now, holder);
         }
@@ -220,10 +225,10 @@
         self.spent += arrival.spend;
         let over = self.spent.saturating_sub(self.ledger.topped_up());
         self.outcome.overspend = self.outcome.overspend.max(over);
-        self.send(now, holder, Sent::Charge(request));
+        self.send(now, holder, Submission::Charge(request));
     }
 
-    /// Looks at a holder's demand, and makes its next claim or return.
+    /// Evaluates a holder's demand, and submits its next claim or return.
     fn poll(&mut self, now: Micros, holder: usize) {
         if self.holders[holder].pending.is_some() {
             return;
@@ -231,42 +236,42 @@
         let state = &mut self.holders[holder];
         let moved = state.poll(now);
         match moved {
-            Move::Claim(size) => {
+            Action::Claim(size) => {
                 state.seq += 1;
                 state.pending = Some(Pending { since: now });
-                let sent = Sent::Claim {
+                let submission = Submission::Claim {
                     seq: state.seq,
                     need: size.need,
                     want: size.want,
                 };
                 self.await_answer(now, holder);
-                self.send(now, holder, sent);
+                self.send(now, holder, submission);
             }
-            Move::Return(amount) => {
+            Action::Return(amount) => {
                 state.pending = Some(Pending { since: now });
                 self.await_answer(now, holder);
-                self.send(now, holder, Sent::Return(amount));
+                self.send(now, holder, Submission::Return(amount));
             }
-            Move::Nothing { is_short: true } => {
-                state.news.at = Some(now);
-                self.poll_at(holder, now + TOLD_PAUSE);
-                self.tell(now, holder);
+            Action::Nothing { is_short: true } => {
+                state.last_claim.at = Some(now);
+                self.poll_at(holder, now + WAITER_POLL_INTERVAL);
+                self.retry_waiters(now, holder);
             }
-            Move::Nothing { is_short: false } => self.poll_at(holder, now + TICK),
+            Action::Nothing { is_short: false } => self.poll_at(holder, now + POLL_INTERVAL),
         }
     }
 
     fn poll_at(&mut self, holder: usize, at: Micros) {
         self.holders[holder].poll_at = at;
-        self.agenda.put(at, Event::Poll(holder));
+        self.agenda.schedule(at, Event::Poll(holder));
     }
 
     fn await_answer(&mut self, now: Micros, holder: usize) {
-        let silence = Event::Silence { holder, since: now };
-        self.agenda.put(now + SUBMIT_WAIT, silence);
+        let timeout = Event::Timeout { holder, since: now };
+        self.agenda.schedule(now + SUBMIT_TIMEOUT, timeout);
     }
 
-    fn silence(&mut self, now: Micros, holder: usize, since: Micros) {
+    fn on_timeout(&mut self, now: Micros, holder: usize, since: Micros) {
         let state = &mut self.holders[holder];
         if state
             .pending
@@ -276,13 +281,13 @@
             return;
         }
         state.on_failed(now);
-        let silence = Event::Silence { holder, since };
-        self.agenda.put(now + SUBMIT_WAIT, silence);
-        self.tell(now, holder);
+        let timeout = Event::Timeout { holder, since };
+        self.agenda.schedule(now + SUBMIT_TIMEOUT, timeout);
+        self.retry_waiters(now, holder);
     }
 
-    /// All that wait at a holder look again at what is known.
-    fn tell(&mut self, now: Micros, holder: usize) {
+    /// Decides all requests waiting at a holder again, with its current state.
+    fn retry_waiters(&mut self, now: Micros, holder: usize) {
         let waiters = self.holders[holder].waiters.clone();
         for waiter in waiters {
             if self.take(now, waiter.request, holder) {
@@ -299,7 +304,7 @@
         match step {
             ShortfallAction::Wait => {}
             ShortfallAction::Relay(_) => self.relay(now, holder, waiter, peers),
-            ShortfallAction::Refuse(refusal) => self.turn_away(now, holder, waiter, refusal.kind),
+            ShortfallAction::Refuse(refusal) => self.fall_back(now, holder, waiter, refusal.kind),
         }
     }
 
@@ -309,15 +314,15 @@
             return;
         };
         let waiter = *waiter;
-        self.turn_away(now, holder, waiter, RefusalKind::LogUnavailable);
+        self.fall_back(now, holder, waiter, RefusalKind::LogUnavailable);
     }
 
-    /// The request gets nothing at this holder.
-    fn turn_away(&mut self, now: Micros, holder: usize, waiter: Waiter, kind: RefusalKind) {
+    /// Handles a request that this holder can't serve: relays or refuses it.
+    fn fall_back(&mut self, now: Micros, holder: usize, waiter: Waiter, kind: RefusalKind) {
         if waiter.may_relay && kind != RefusalKind::NoBudget {
-            // As the router does: it asks some peers even without knowing holders.
+            // Like the router, try some peers even if no holders are known.
             let count = self.holders.len();
-            let peers = (1..=PEERS_MAX).map(|step| (holder + waiter.request * step + 1) % count);
+            let peers = (1..=MAX_PEERS).map(|step| (holder + waiter.request * step + 1) % count);
             let peers = peers.filter(|peer| *peer != holder).collect();
             return self.relay(now, holder, waiter, peers);
         }
@@ -331,13 +336,13 @@
         self.holders[holder].grant.miss(waiter.cost);
         self.outcome.relayed += 1;
         let mut peers = peers;
-        peers.truncate(PEERS_MAX);
+        peers.truncate(MAX_PEERS);
         peers.reverse();
         self.relays[waiter.request] = Some(peers);
         self.next_peer(now, waiter.request);
     }
 
-    /// Sends the request to the next peer, or ends it.
+    /// Relays the request to the next peer, or refuses it if none is left.
     fn next_peer(&mut self, now: Micros, request: usize) {
         let left = self.relays[request].take();
         let Some(mut peers) = left else {
@@ -349,19 +354,22 @@
             return self.refuse(now, request);
         };
         let origin = self.arrivals[request].holder;
-        let is_cut = self.setup.is_cut(origin, now) != self.setup.is_cut(peer, now);
+        let is_partitioned =
+            self.setup.is_partitioned(origin, now) != self.setup.is_partitioned(peer, now);
         let relay = Relay {
             request,
             peers: vec![peer],
         };
-        if is_cut {
+        if is_partitioned {
             let none = Relay {
                 request,
                 peers: Vec::new(),
             };
-            return self.agenda.put(now + CONNECT, Event::Relay(none));
+            return self
+                .agenda
+                .schedule(now + CONNECT_TIMEOUT, Event::Relay(none));
         }
-        self.agenda.put(now + HOP, Event::Relay(relay));
+        self.agenda.schedule(now + HOP_DELAY, Event::Relay(relay));
     }
 
     fn relay_to(&mut self, now: Micros, relay: Relay) {
@@ -382,8 +390,8 @@
         if left < i128::from(arrival.cost) {
             return;
         }
-        side.with_rest += 1;
-        side.false_refused += u64::from(self.counter.taken[request]);
+        side.funded_refused += 1;
+        side.false_refused += u64::from(self.counter.admitted[request]);
     }
 
     fn leave(&mut self, holder: usize, request: usize) {
@@ -391,17 +399,17 @@
         waiters.retain(|waiter| waiter.request != request);
     }
 
-    /// A record goes to the ledger; behind a cut, once it is over.
-    fn send(&mut self, now: Micros, holder: usize, sent: Sent) {
-        let at = self.after_cut(holder, now + HOP);
-        self.agenda.put(at, Event::Submit(holder, sent));
+    /// Sends a record to the ledger; during a partition, delays it until the partition ends.
+    fn send(&mut self, now: Micros, holder: usize, submission: Submission) {
+        let at = self.after_partition(holder, now + HOP_DELAY);
+        self.agenda.schedule(at, Event::Submit(holder, submission));
     }
 
-    fn submit(&mut self, now: Micros, holder: usize, sent: Sent) {
-        match sent {
-            Sent::Claim { seq, need, want } => self.ledger.claim(holder, seq, need, want),
-            Sent::Return(amount) => self.ledger.give_back(holder, amount),
-            Sent::Charge(request) => {
+    fn submit(&mut self, now: Micros, holder: usize, submission: Submission) {
+        match submission {
+            Submission::Claim { seq, need, want } => self.ledger.claim(holder, seq, need, want),
+            Submission::Return(amount) => self.ledger.give_back(holder, amount),
+            Submission::Charge(request) => {
                 let arrival = &self.arrivals[request];
                 self.ledger.charge(holder, request, arrival, now);
             }
@@ -412,65 +420,69 @@
     fn flush_soon(&mut self, now: Micros) {
         if !self.is_flushing {
             self.is_flushing = true;
-            self.agenda.put(now + BATCH, Event::Flush);
+            self.agenda.schedule(now + BATCH, Event::Flush);
         }
     }
 
     fn flush(&mut self, now: Micros) {
-        let at = match self.setup.out.filter(|out| out.has(now)) {
-            Some(out) => out.until,
+        let at = match self
+            .setup
+            .log_outage
+            .filter(|log_outage| log_outage.has(now))
+        {
+            Some(log_outage) => log_outage.until,
             None => now + APPEND,
         };
-        self.agenda.put(at, Event::Commit);
+        self.agenda.schedule(at, Event::Commit);
     }
 
     fn commit(&mut self, now: Micros) {
-        let heard = self.ledger.commit();
+        let replies = self.ledger.commit();
         self.is_flushing = false;
-        for (holder, heard) in heard {
-            let at = self.after_cut(holder, now + HOP);
-            self.agenda.put(at, Event::Heard(holder, heard));
+        for (holder, reply) in replies {
+            let at = self.after_partition(holder, now + HOP_DELAY);
+            self.agenda.schedule(at, Event::LedgerReply(holder, reply));
         }
         if self.ledger.is_waiting() {
             self.flush_soon(now);
         }
     }
 
-    fn heard(&mut self, now: Micros, holder: usize, heard: Heard) {
+    fn on_reply(&mut self, now: Micros, holder: usize, reply: LedgerReply) {
         let state = &mut self.holders[holder];
-        match heard {
-            Heard::Claim(fate) => state.on_claimed(now, &fate, self.plan.credits),
-            Heard::Returned => state.pending = None,
+        match reply {
+            LedgerReply::Claim(fate) => state.on_claimed(now, &fate, self.policy.credits),
+            LedgerReply::Returned => state.pending = None,
         }
         self.poll(now, holder);
-        self.tell(now, holder);
+        self.retry_waiters(now, holder);
     }
 
-    /// A moment, or the end of the cut that the holder is behind then.
-    fn after_cut(&self, holder: usize, at: Micros) -> Micros {
-        match self.setup.cut {
-            Some(cut) if self.setup.is_cut(holder, at) => cut.until,
+    /// Returns the given time, or the end of the partition that the holder is in then.
+    fn after_partition(&self, holder: usize, at: Micros) -> Micros {
+        match self.setup.partition {
+            Some(partition) if self.setup.is_partitioned(holder, at) => partition.until,
             _ => at,
         }
     }
 
     fn sample(&mut self, now: Micros) {
-        self.agenda.put(now + SEC, Event::Sample);
+        self.agenda.schedule(now + SEC, Event::Sample);
         if !self.counter.counted.has(now) {
             return;
         }
         let mut all = 0;
-        let mut cut = 0;
+        let mut partitioned = 0;
         for (index, holder) in self.holders.iter().enumerate() {
             let free = holder.grant.available();
             all += free;
-            if self.setup.is_cut(index, now) {
-                cut += free;
+            if self.setup.is_partitioned(index, now) {
+                partitioned += free;
             }
         }
         self.held.add(all as f64);
-        if self.setup.cut.is_some_and(|window| window.has(now)) {
-            self.held_cut.add(cut as f64);
+        if self.setup.partition.is_some_and(|window| window.has(now)) {
+            self.held_partitioned.add(partitioned as f64);
         }
         self.outcome.left = all;
     }
--- a/crates/bench/src/limits/mod.rs
+++ b/crates/bench/src/limits/mod.rs
@@ -1,11 +1,11 @@
-//! Limits, priority and retries: goodput and honesty of refusals under overload, and
-//! attempts while runners fail.
+//! Limits, priority and retries: goodput and accuracy of retry-after times under
+//! overload, and attempts while runners fail.
 
 mod overload;
 mod retries;
 mod setup;
 
-pub use overload::{Outcome, World};
+pub use overload::{Outcome, Simulation};
 pub use setup::{CLASSES, Class, Setup};
 
 use crate::row::Rows;
--- a/crates/bench/src/path/drive.rs
+++ b/crates/bench/src/path/drive.rs
@@ -1,6 +1,6 @@
-//! Sends calls and times them.
+//! Load generator: sends calls and records their latencies.
 //!
-//! Each thread has a runtime of its own, so that the client adds no change of thread.
+//! Each thread has its own runtime, so that the client adds no thread switches.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Barrier};
@@ -10,51 +10,51 @@
 use hdrhistogram::Histogram;
 use tokio::task::JoinSet;
 
-use super::caller::{Caller, Side};
+use super::caller::{Caller, Target};
 
-/// Failed calls that are shown, of the whole run.
-const SHOWN: u64 = 3;
-static SEEN: AtomicU64 = AtomicU64::new(0);
-/// One call in so many is made before, to warm up.
-const WARM: u64 = 10;
+/// Maximum failed calls printed in the whole run.
+const MAX_SHOWN_FAILURES: u64 = 3;
+static FAILURES: AtomicU64 = AtomicU64::new(0);
+/// Measured calls per warm-up call.
+const CALLS_PER_WARMUP: u64 = 10;
 /// Nanoseconds in a millisecond.
 const MS: f64 = 1e6;
 
-/// How the connections of a side send.
+/// Load pattern of the connections to a side.
 #[derive(Clone, Copy, Debug)]
 pub enum Load {
-    /// Each sends again at once, for this time.
+    /// Closed loop: each connection sends its next call at once, for this duration.
     Closed(Duration),
-    /// Together they send this many calls a second, evenly, whatever the answers take.
+    /// Open loop: calls are sent at a constant total rate, independent of latency.
     Open {
         /// Calls a second.
         rate: f64,
-        /// For this time.
+        /// Duration.
         time: Duration,
     },
 }
 
-/// What a side is put under.
+/// Workload of a side.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
-    /// Connections.
-    pub conns: usize,
-    /// Threads that they are spread over.
+pub struct Workload {
+    /// Number of connections.
+    pub connections: usize,
+    /// Number of threads that share the connections.
     pub threads: usize,
-    /// How they send.
+    /// Load pattern.
     pub load: Load,
 }
 
-/// Times of calls.
+/// Latencies of calls.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct CallStats {
     times: Histogram<u64>,
     failed: u64,
     busy: Duration,
 }
 
-impl Tally {
-    /// No calls.
+impl CallStats {
+    /// Creates an empty tally.
     #[must_use]
     pub fn new() -> Self {
         let times = Histogram::new(3).expect("three digits are allowed");
@@ -65,31 +65,31 @@
         }
     }
 
-    /// Adds the calls of another turn.
-    pub fn join(&mut self, turn: &Self) {
+    /// Merges the calls of another turn.
+    pub fn merge(&mut self, turn: &Self) {
         self.add(turn);
         self.busy += turn.busy;
     }
 
-    /// Whole calls.
+    /// Number of calls with a complete answer.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.times.len()
     }
 
-    /// Calls without a whole answer.
+    /// Number of calls without a complete answer.
     #[must_use]
     pub fn failed(&self) -> u64 {
         self.failed
     }
 
-    /// Whole calls a second.
+    /// Completed calls a second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         self.calls() as f64 / self.busy.as_secs_f64()
     }
 
-    /// The time (ms) that a share of the calls stayed under.
+    /// Returns the latency quantile (ms) for the given share of calls.
     #[must_use]
     pub fn at(&self, share: f64) -> f64 {
         self.times.value_at_quantile(share) as f64 / MS
@@ -101,10 +101,10 @@
         self.failed += other.failed;
     }
 
-    fn note(&mut self, done: &anyhow::Result<()>, time: Duration) {
+    fn record_call(&mut self, done: &anyhow::Result<()>, time: Duration) {
         if let Err(error) = done {
             self.failed += 1;
-            if SEEN.fetch_add(1, Ordering::Relaxed) < SHOWN {
+            if FAILURES.fetch_add(1, Ordering::Relaxed) < MAX_SHOWN_FAILURES {
                 eprintln!("a call failed: {error:#}");
             }
             return;
@@ -114,110 +114,115 @@
     }
 }
 
-/// Calls of some sides in turns, on one connection each.
+/// Calls the sides alternately, on one connection each.
 ///
 /// # Errors
-/// When a side can't be reached.
-pub async fn turns(sides: Vec<Side>, calls: u64) -> anyhow::Result<Vec<Tally>> {
+/// Fails when a side can't be reached.
+pub async fn turns(targets: Vec<Target>, calls: u64) -> anyhow::Result<Vec<CallStats>> {
     in_thread(async move {
         let mut lanes = Vec::new();
-        for side in sides {
-            lanes.push((Caller::open(side).await?, Tally::new()));
+        for target in targets {
+            lanes.push((Caller::open(target).await?, CallStats::new()));
         }
-        for _warm in 0..calls / WARM {
+        for _warm in 0..calls / CALLS_PER_WARMUP {
             for (caller, _tally) in &mut lanes {
                 caller.call().await?;
             }
         }
         for _call in 0..calls {
-            for (caller, tally) in &mut lanes {
+            for (caller, stats) in &mut lanes {
                 let start = Instant::now();
                 let done = caller.call().await;
-                tally.note(&done, start.elapsed());
+                stats.record_call(&done, start.elapsed());
             }
         }
-        Ok(lanes.into_iter().map(|(_caller, tally)| tally).collect())
+        Ok(lanes.into_iter().map(|(_caller, stats)| stats).collect())
     })
     .await
 }
 
-/// Puts one side under load for one turn.
+/// Runs the workload against one side for one turn.
 ///
 /// # Errors
-/// When the side can't be reached.
-pub async fn drive(side: &Side, work: Work) -> anyhow::Result<Tally> {
+/// Fails when the side can't be reached.
+pub async fn drive(target: &Target, work: Workload) -> anyhow::Result<CallStats> {
     let barrier = Arc::new(Barrier::new(work.threads));
     let mut threads = Vec::new();
     for thread in 0..work.threads {
-        let (side, barrier) = (side.clone(), Arc::clone(&barrier));
+        let (target, barrier) = (target.clone(), Arc::clone(&barrier));
         threads.push(tokio::spawn(in_thread(async move {
-            share(side, work, thread, &barrier).await
+            share(target, work, thread, &barrier).await
         })));
     }
-    let mut tally = Tally::new();
+    let mut stats = CallStats::new();
     for thread in threads {
         let part = thread.await.context("a thread of callers")??;
-        tally.add(&part);
-        tally.busy = tally.busy.max(part.busy);
+        stats.add(&part);
+        stats.busy = stats.busy.max(part.busy);
     }
-    Ok(tally)
+    Ok(stats)
 }
 
-/// One thread's share of the connections.
-async fn share(side: Side, work: Work, thread: usize, barrier: &Barrier) -> anyhow::Result<Tally> {
+/// Runs one thread's share of the connections.
+async fn share(
+    target: Target,
+    work: Workload,
+    thread: usize,
+    barrier: &Barrier,
+) -> anyhow::Result<CallStats> {
     let mut callers = Vec::new();
-    for place in (thread..work.conns).step_by(work.threads) {
-        callers.push((place, warm(&side).await));
+    for place in (thread..work.connections).step_by(work.threads) {
+        callers.push((place, open_warmed_up(&target).await));
     }
-    // All threads stand here, so that no connection is opened under load.
+    // Wait for all threads, so that no connection is opened under load.
     barrier.wait();
     let start = Instant::now();
     let mut tasks = JoinSet::new();
     for (place, caller) in callers {
         tasks.spawn(send(caller?, work, place, start));
     }
-    let mut tally = Tally::new();
+    let mut stats = CallStats::new();
     while let Some(part) = tasks.join_next().await {
-        tally.add(&part.context("a caller")?);
+        stats.add(&part.context("a caller")?);
     }
-    tally.busy = start.elapsed();
-    Ok(tally)
+    stats.busy = start.elapsed();
+    Ok(stats)
 }
 
-async fn warm(side: &Side) -> anyhow::Result<Caller> {
-    let mut caller = Caller::open(side.clone()).await?;
+async fn open_warmed_up(target: &Target) -> anyhow::Result<Caller> {
+    let mut caller = Caller::open(target.clone()).await?;
     caller.call().await?;
     Ok(caller)
 }
 
-async fn send(mut caller: Caller, work: Work, place: usize, start: Instant) -> Tally {
-    let mut tally = Tally::new();
+async fn send(mut caller: Caller, work: Workload, place: usize, start: Instant) -> CallStats {
+    let mut stats = CallStats::new();
     match work.load {
         Load::Closed(time) => {
             while start.elapsed() < time {
                 let begin = Instant::now();
                 let done = caller.call().await;
-                tally.note(&done, begin.elapsed());
+                stats.record_call(&done, begin.elapsed());
             }
         }
         Load::Open { rate, time } => {
-            let gap = Duration::from_secs_f64(work.conns as f64 / rate);
-            let mut due = start + gap.mul_f64(place as f64 / work.conns as f64);
+            let gap = Duration::from_secs_f64(work.connections as f64 / rate);
+            let mut due = start + gap.mul_f64(place as f64 / work.connections as f64);
             while due < start + time {
-                // A connection that is free waits, and the timer's error isn't the
-                // callee's; one that is late counts from when it was due.
+                // An idle connection waits until the call is due, and the timer's error is not
+                // attributed to the server; a late call is timed from when it was due.
                 let mut begin = due;
                 if Instant::now() < due {
                     tokio::time::sleep_until(due.into()).await;
                     begin = Instant::now();
                 }
                 let done = caller.call().await;
-                tally.note(&done, begin.elapsed());
+                stats.record_call(&done, begin.elapsed());
                 due += gap;
             }
         }
     }
-    tally
+    stats
 }
 
 /// Runs a future on a thread and a runtime of its own.
--- a/crates/bench/src/routing/scenario.rs
+++ b/crates/bench/src/routing/scenario.rs
@@ -1,31 +1,31 @@
-//! The scenarios, and the rows that they give.
+//! Scenarios and their output rows.
 
 use super::outcome::Outcome;
 use super::setup::{Choice, Fault, Prefixes, Setup};
-use super::world::World;
+use super::simulation::Simulation;
 use crate::draw::{MS, SEC};
 use crate::row::Rows;
 
-/// The size of the letter, for the runners.
+/// Runners in the full-scale deployment.
 const MANY: usize = 600;
-/// Routers of that size: a third of its daemons.
+/// Routers at full scale, a third of its daemons.
 const MANY_ROUTERS: usize = 120;
-/// Runners that a router uses there: the setting's default.
+/// Runners in each router's subset at full scale: the default of the setting.
 const SUBSET: usize = 32;
-/// How much slower the slow runner is.
+/// Slowdown factor of the slow runner.
 const SLOW: f64 = 4.0;
 
 /// Runs all scenarios with all policies.
 pub fn run(seed: u64, quick: bool, rows: &mut Rows) {
     for setup in setups(quick) {
         for choice in Choice::ALL {
-            let outcome = World::new(&setup, choice, seed).run();
+            let outcome = Simulation::new(&setup, choice, seed).run();
             write(&setup, choice.name(), &outcome, rows);
         }
     }
 }
 
-/// Adds the rows of a run.
+/// Writes the rows of a run.
 pub(crate) fn write(setup: &Setup, policy: &str, outcome: &Outcome, rows: &mut Rows) {
     let mut add = |metric, value| rows.add(setup.name, policy, metric, value);
     add("ttft_p50_ms", outcome.first_ms(0.5));
@@ -33,15 +33,18 @@
     add("ttft_p99_ms", outcome.first_ms(0.99));
     add("prefix_hits_pct", outcome.percent(outcome.hits));
     if !setup.faults.is_empty() {
-        add("to_faulty_pct", outcome.percent(outcome.to_faulty));
-        add("lost_pct", outcome.percent(outcome.lost));
+        add("to_faulty_pct", outcome.percent(outcome.faulty_attempts));
+        add("lost_pct", outcome.percent(outcome.failed));
     }
 }
 
 fn setups(quick: bool) -> Vec<Setup> {
     let basic = |name| Setup::basic(name, quick);
     let many = |name| many(name, quick);
-    let lagged = |name, lag| Setup { lag, ..basic(name) };
+    let lagged = |name, report_age| Setup {
+        report_age,
+        ..basic(name)
+    };
     let faulty = |setup: Setup, fault| Setup {
         faults: vec![fault],
         ..setup
@@ -80,7 +83,7 @@
         },
         Setup {
             poll: 5 * SEC,
-            lag: 5 * SEC,
+            report_age: 5 * SEC,
             ..basic("routing-poll-5s-lag-5s")
         },
         many("routing-600"),
--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/simulation.rs
@@ -1,4 +1,4 @@
-//! The run: routers choose runners in virtual time.
+//! The simulation: routers choose runners in virtual time.
 
 use rand_pcg::Pcg64Mcg;
 use swiftlink_routing::{
@@ -7,25 +7,25 @@
 use swiftlink_types::{DomainName, Micros, ServerInstance, ServerName};
 
 use super::outcome::Outcome;
-use super::runner::{Runner, STEP};
-use super::setup::{Choice, FIRST, Fault, REST, Retry, SLOTS, Setup};
+use super::runner::{Runner, SNAPSHOT_INTERVAL};
+use super::setup::{Choice, FIRST_TOKEN_US, Fault, REMAINDER_US, Retry, SLOTS, Setup};
 use crate::agenda::Agenda;
-use crate::draw::{MS, around, below, gap, generator, unit, weighted};
+use crate::draw::{MS, generator, log_normal, poisson_gap, uniform, unit, weighted};
 
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 4;
-/// One-way time to a runner in the same domain and in another one.
-const NEAR: Micros = 50;
-const FAR: Micros = 500;
-/// Time in which a failing runner fails.
-const FAIL: Micros = 2 * MS;
-/// Spread of the times to the first token, and of the rest.
+/// One-way latency to a runner in the same domain and in another one.
+const SAME_DOMAIN_DELAY: Micros = 50;
+const CROSS_DOMAIN_DELAY: Micros = 500;
+/// Time until a failing runner returns an error.
+const FAILURE_DELAY: Micros = 2 * MS;
+/// Spread of the time to first token, and of the rest of an answer.
 const FIRST_SPREAD: f64 = 0.2;
 const REST_SPREAD: f64 = 0.5;
-/// Part of the time to the first token that is left with a cached prefix.
-const WARM: f64 = 0.5;
-/// Most attempts for one request.
-const ATTEMPTS: u32 = 3;
+/// Factor on the time to first token when the prefix is cached.
+const CACHED_PREFIX_FACTOR: f64 = 0.5;
+/// Maximum attempts per request.
+const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Debug)]
 enum Event {
@@ -35,7 +35,7 @@
     End(usize),
     Fail(usize),
     Poll { router: usize, member: usize },
-    Remember,
+    Snapshot,
 }
 
 #[derive(Debug)]
@@ -48,35 +48,35 @@
 #[derive(Debug)]
 struct Request {
     router: usize,
-    came: Micros,
+    arrived: Micros,
     prefix: u64,
     attempts: u32,
     tried: Vec<ServerIdx>,
     runner: usize,
     sent: Option<Dispatch>,
-    is_warm: bool,
+    is_prefix_cached: bool,
 }
 
-/// One run of one policy.
+/// A simulation of one policy.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     setup: &'a Setup,
     routers: Vec<Router>,
     runners: Vec<Runner>,
     requests: Vec<Request>,
-    /// Weights of the known prefixes.
+    /// Weights of the shared prefixes.
     weights: Vec<f64>,
     agenda: Agenda<Event>,
-    /// For demand, for the policy and for the runners, so that each policy meets the
+    /// Separate generators for demand, policy and runners, so that every policy gets the
     /// same demand.
-    demand: Pcg64Mcg,
-    chance: Pcg64Mcg,
-    times: Pcg64Mcg,
+    demand_rng: Pcg64Mcg,
+    policy_rng: Pcg64Mcg,
+    runner_rng: Pcg64Mcg,
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
-    /// A run of the choice.
+impl<'a> Simulation<'a> {
+    /// Creates a simulation of the policy.
     #[must_use]
     pub fn new(setup: &'a Setup, choice: Choice, seed: u64) -> Self {
         let specs: Vec<ServerSpec> = (0..setup.runners).map(spec).collect();
@@ -94,14 +94,14 @@
                 .map(|rank| (rank as f64).powf(-setup.prefixes.skew))
                 .collect(),
             agenda: Agenda::new(),
-            demand: generator(seed, 1),
-            chance: generator(seed, 2),
-            times: generator(seed, 3),
+            demand_rng: generator(seed, 1),
+            policy_rng: generator(seed, 2),
+            runner_rng: generator(seed, 3),
             outcome: Outcome::default(),
         }
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> Outcome {
         self.begin();
@@ -111,36 +111,36 @@
             }
             match event {
                 Event::Arrive => self.arrive(now),
-                Event::Start(request) => self.reach(now, request),
+                Event::Start(request) => self.on_arrival(now, request),
                 Event::First(request) => self.first(now, request),
                 Event::End(request) => self.end(now, request),
                 Event::Fail(request) => self.fail(now, request),
                 Event::Poll { router, member } => self.poll(now, router, member),
-                Event::Remember => self.remember(now),
+                Event::Snapshot => self.take_snapshot(now),
             }
         }
-        self.outcome.firsts.sort_unstable();
+        self.outcome.first_token_times.sort_unstable();
         self.outcome
     }
 
     fn begin(&mut self) {
-        self.agenda.put(0, Event::Remember);
-        self.agenda.put(0, Event::Arrive);
+        self.agenda.schedule(0, Event::Snapshot);
+        self.agenda.schedule(0, Event::Arrive);
         for (router, state) in self.routers.iter().enumerate() {
             for member in 0..state.members.len() {
-                let at = below(&mut self.chance, self.setup.poll);
-                self.agenda.put(at, Event::Poll { router, member });
+                let at = uniform(&mut self.policy_rng, self.setup.poll);
+                self.agenda.schedule(at, Event::Poll { router, member });
             }
         }
     }
 
     fn arrive(&mut self, now: Micros) {
-        let wait = gap(&mut self.demand, self.setup.rate());
-        self.agenda.put(now + wait, Event::Arrive);
-        let router = below(&mut self.demand, self.routers.len() as u64) as usize;
+        let wait = poisson_gap(&mut self.demand_rng, self.setup.rate());
+        self.agenda.schedule(now + wait, Event::Arrive);
+        let router = uniform(&mut self.demand_rng, self.routers.len() as u64) as usize;
         let number = self.requests.len();
-        let is_known = unit(&mut self.demand) < self.setup.prefixes.share;
-        let rank = weighted(&mut self.demand, &self.weights);
+        let is_known = unit(&mut self.demand_rng) < self.setup.prefixes.share;
+        let rank = weighted(&mut self.demand_rng, &self.weights);
         let prefix = if is_known {
             hash(rank as u64)
         } else {
@@ -148,13 +148,13 @@
         };
         self.requests.push(Request {
             router,
-            came: now,
+            arrived: now,
             prefix,
             attempts: 0,
             tried: Vec::new(),
             runner: 0,
             sent: None,
-            is_warm: false,
+            is_prefix_cached: false,
         });
         if self.counts(number) {
             self.outcome.requests += 1;
@@ -163,7 +163,7 @@
     }
 
     fn counts(&self, request: usize) -> bool {
-        self.requests[request].came >= self.setup.warm_up
+        self.requests[request].arrived >= self.setup.warm_up
     }
 
     fn send(&mut self, now: Micros, number: usize) {
@@ -179,9 +179,9 @@
             may_probe: true,
             ..PickArgs::default()
         };
-        let Some(sent) = router.fleet.send(&pick, &mut self.chance) else {
+        let Some(sent) = router.fleet.send(&pick, &mut self.policy_rng) else {
             if counts {
-                self.outcome.lost += 1;
+                self.outcome.failed += 1;
             }
             return;
         };
@@ -195,18 +195,20 @@
         if counts {
             self.outcome.attempts += 1;
             let is_faulty = self.runners[request.runner].fault.is_some();
-            self.outcome.to_faulty += u64::from(is_faulty);
+            self.outcome.faulty_attempts += u64::from(is_faulty);
         }
-        self.agenda.put(now + hop, Event::Start(number));
+        self.agenda.schedule(now + hop, Event::Start(number));
     }
 
-    /// The request reaches its runner.
-    fn reach(&mut self, now: Micros, number: usize) {
+    /// Handles the arrival of a request at its runner.
+    fn on_arrival(&mut self, now: Micros, number: usize) {
         let runner = self.requests[number].runner;
         if let Some(Fault::Fails(share)) = self.runners[runner].fault
-            && unit(&mut self.times) < share
+            && unit(&mut self.runner_rng) < share
         {
-            return self.agenda.put(now + FAIL, Event::Fail(number));
+            return self
+                .agenda
+                .schedule(now + FAILURE_DELAY, Event::Fail(number));
         }
         if self.runners[runner].take(number) {
             self.start(now, number);
@@ -216,15 +218,24 @@
     fn start(&mut self, now: Micros, number: usize) {
         let request = &mut self.requests[number];
         let runner = &mut self.runners[request.runner];
-        request.is_warm = runner.warm(request.prefix, now);
-        let part = if request.is_warm { WARM } else { 1.0 };
-        let mean = FIRST * part * (1.0 + runner.load()) * runner.slowness();
-        let first = around(&mut self.times, mean, FIRST_SPREAD);
-        let rest = around(&mut self.times, REST * runner.slowness(), REST_SPREAD);
+        request.is_prefix_cached = runner.touch_prefix(request.prefix, now);
+        let part = if request.is_prefix_cached {
+            CACHED_PREFIX_FACTOR
+        } else {
+            1.0
+        };
+        let mean = FIRST_TOKEN_US * part * (1.0 + runner.load()) * runner.slowdown();
+        let first = log_normal(&mut self.runner_rng, mean, FIRST_SPREAD);
+        let rest = log_normal(
+            &mut self.runner_rng,
+            REMAINDER_US * runner.slowdown(),
+            REST_SPREAD,
+        );
         let hop = hop(request.router, request.runner);
-        self.agenda.put(now + first + hop, Event::First(number));
         self.agenda
-            .put(now + first + rest + hop, Event::End(number));
+            .schedule(now + first + hop, Event::First(number));
+        self.agenda
+            .schedule(now + first + rest + hop, Event::End(number));
     }
 
     fn first(&mut self, now: Micros, number: usize) {
@@ -235,8 +246,8 @@
             router.fleet.on_first_token(sent, now);
         }
         if counts {
-            self.outcome.firsts.push(now - request.came);
-            self.outcome.hits += u64::from(request.is_warm);
+            self.outcome.first_token_times.push(now - request.arrived);
+            self.outcome.hits += u64::from(request.is_prefix_cached);
         }
     }
 
@@ -259,30 +270,31 @@
         if let Some(sent) = request.sent.take() {
             router.fleet.on_error(sent, now, ErrorKind::Status);
         }
-        let may = request.attempts < ATTEMPTS;
-        let may = may && (self.setup.retry == Retry::Always || router.retries.take());
-        if may {
+        let may_retry = request.attempts < MAX_ATTEMPTS;
+        let may_retry = may_retry && (self.setup.retry == Retry::Always || router.retries.take());
+        if may_retry {
             return self.send(now, number);
         }
         if counts {
-            self.outcome.lost += 1;
+            self.outcome.failed += 1;
         }
     }
 
     fn poll(&mut self, now: Micros, router: usize, member: usize) {
         let state = &mut self.routers[router];
         let (idx, runner) = state.members[member];
-        let report = self.runners[runner].report(self.setup.lag);
+        let report = self.runners[runner].report(self.setup.report_age);
         state.fleet.on_report(idx, now, report);
         self.agenda
-            .put(now + self.setup.poll, Event::Poll { router, member });
+            .schedule(now + self.setup.poll, Event::Poll { router, member });
     }
 
-    fn remember(&mut self, now: Micros) {
+    fn take_snapshot(&mut self, now: Micros) {
         for runner in &mut self.runners {
-            runner.remember();
+            runner.take_snapshot();
         }
-        self.agenda.put(now + STEP, Event::Remember);
+        self.agenda
+            .schedule(now + SNAPSHOT_INTERVAL, Event::Snapshot);
     }
 }
 
@@ -321,13 +333,13 @@
 
 fn hop(router: usize, runner: usize) -> Micros {
     if router % DOMAINS == runner % DOMAINS {
-        NEAR
+        SAME_DOMAIN_DELAY
     } else {
-        FAR
+        CROSS_DOMAIN_DELAY
     }
 }
 
-/// Spreads the bits of a number; never 0.
+/// Mixes the bits of a number; never returns 0.
 fn hash(number: u64) -> u64 {
     let wide = u128::from(number + 1).wrapping_mul(0xd6e8_feb8_6659_fd93_a076_1d64_78bd_642f);
     ((wide >> 64) as u64 ^ wide as u64) | 1
