--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -1,5 +1,5 @@
-//! Each caller gets the whole answer to its own request: faulty engines, broken
-//! connections, and routers that die in mid-stream. Bytes are compared.
+//! Each caller gets the complete answer to its own request although engines fail,
+//! connections break and routers die in mid-stream. The tests compare bytes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use swiftlink_testkit::until::until;
 use tokio::task::JoinSet;
 
-use crate::hammer::{Hammer, Style, counts};
+use crate::hammer::{LoadGenerator, LoadOptions, counts};
 use crate::support::{check_all, expected, new_key, plan, sent};
 
 const TENANTS: [&str; 3] = ["lannec", "vannes", "deusto"];
@@ -23,7 +23,7 @@
     TENANTS.map(|name| Tenant::new(name, 1_000_000)).to_vec()
 }
 
-/// One position of an engine's switches.
+/// Draws the value of one fault switch of an engine.
 fn fault(draw: &mut SeededRng) -> Value {
     let pick = |draw: &mut SeededRng, percent, limit| {
         let value = 1 + draw.below(limit);
@@ -40,32 +40,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn faulty_engines_give_everyone_its_own_answer() {
-    rounds("faulty_engines_give_everyone_its_own_answer", faulty).await;
+async fn callers_get_their_own_answers_from_faulty_engines() {
+    rounds("callers_get_their_own_answers_from_faulty_engines", faulty).await;
 }
 
 async fn faulty(mut draw: SeededRng) {
     let plan = plan().engines(3).tenants(tenants()).relayed();
     let fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    let style = Style {
+    let options = LoadOptions {
         callers: 16,
         tries: 10,
     };
-    let hammer = Hammer::spawn(&fleet, &recorder, &mut draw, TENANTS.len(), style);
+    let load = LoadGenerator::spawn(&fleet, &recorder, &mut draw, TENANTS.len(), options);
     for _step in 0..25 {
         let at = draw.index(fleet.engines.len());
         let fault = fault(&mut draw);
-        fleet.engines[at].set(fault).await.expect("a switch");
+        fleet.engines[at]
+            .set(fault)
+            .await
+            .expect("the switch is set");
         if draw.chance(40) {
             let engine = format!("engine-{}", draw.index(fleet.engines.len()));
             assert!(fleet.net.cut_where(|_from, to| to == engine) > 0);
             tokio::time::sleep(Duration::from_millis(draw.below(50))).await;
             fleet.net.heal();
         }
-        hammer.until("some answers", |told| told.len() >= 12).await;
+        load.until("some answers", |told| told.len() >= 12).await;
     }
-    let told = hammer.stop().await;
+    let told = load.stop().await;
     say(&format!("  {:?}", counts(&told)));
     let calls = recorder.calls();
     let is_whole = |call: &&Call| matches!(call.outcome, CallOutcome::Complete { .. });
@@ -85,8 +88,8 @@
     rounds("answers_are_resumed_at_other_routers", resumed).await;
 }
 
-/// A caller that has seen a part of its answer.
-struct Reading {
+/// A caller that has received a part of its answer.
+struct PartialAnswer {
     tenant: usize,
     ask: ChatRequest,
     began: u64,
@@ -95,16 +98,20 @@
     last: String,
 }
 
-impl Reading {
+impl PartialAnswer {
     async fn events(&mut self, count: u64) {
         for _event in 0..count {
-            let event = self.stream.next().await.expect("an event");
+            let event = self
+                .stream
+                .next()
+                .await
+                .expect("the stream has another event");
             self.last = event.id;
         }
     }
 
-    /// Reads what still comes of a broken connection, and resumes elsewhere.
-    async fn move_to(&mut self, fleet: &Fleet, router: usize) {
+    /// Reads the remaining events of a broken connection and resumes at `router`.
+    async fn resume_at(&mut self, fleet: &Fleet, router: usize) {
         while let Some(event) = self.stream.next().await {
             self.last = event.id;
         }
@@ -112,7 +119,7 @@
         assert!(!seen.is_complete, "the killed router sent all: {seen:?}");
         self.text.push_str(&seen.text);
         let caller = fleet.caller(self.tenant);
-        // A router that holds no rights yet may ask the caller to come back.
+        // A router without quota may ask the caller to retry later.
         let next = until("the stream to be resumed", async || {
             let next = caller.resume(fleet.router(router), &self.last).await;
             match next {
@@ -131,11 +138,14 @@
     let plan = plan().vms(4, 4).tenants(tenants());
     let mut fleet = plan.start().await.expect("the fleet starts");
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 40 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 40 }))
+            .await
+            .expect("the pace is set");
     }
     let recorder = Recorder::default();
     let first = draw.index(4);
-    let mut readings = Vec::new();
+    let mut partials = Vec::new();
     for number in 0..15 {
         let tenant = number % TENANTS.len();
         let prompt = format!("part {number} of the deed tokens=200");
@@ -143,40 +153,43 @@
             .with_key(&new_key())
             .streamed();
         ask.max_tokens = 200;
-        readings.push(begin(&fleet, &recorder, tenant, first, ask).await);
+        partials.push(begin(&fleet, &recorder, tenant, first, ask).await);
     }
-    for reading in &mut readings {
-        reading.events(1 + draw.below(4)).await;
+    for partial in &mut partials {
+        partial.events(1 + draw.below(4)).await;
     }
-    refuse_strangers(&fleet, &mut draw, &readings).await;
+    check_foreign_resumes(&fleet, &mut draw, &partials).await;
     fleet.routers[first].process.kill();
     let second = draw.other(4, first);
-    for reading in &mut readings {
-        reading.move_to(&fleet, second).await;
+    for partial in &mut partials {
+        partial.resume_at(&fleet, second).await;
     }
-    for reading in &mut readings {
-        reading.events(1 + draw.below(4)).await;
+    for partial in &mut partials {
+        partial.events(1 + draw.below(4)).await;
     }
     fleet.routers[second].process.kill();
     let third = (0..4).find(|at| ![first, second].contains(at));
     let third = third.expect("two routers are left");
-    for reading in &mut readings {
-        reading.move_to(&fleet, third).await;
+    for partial in &mut partials {
+        partial.resume_at(&fleet, third).await;
     }
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 0 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 0 }))
+            .await
+            .expect("the pace is set");
     }
     let mut tasks = JoinSet::new();
-    for reading in readings {
+    for partial in partials {
         tasks.spawn(async move {
-            let Reading {
+            let PartialAnswer {
                 tenant,
                 ask,
                 began,
                 stream,
                 text,
                 ..
-            } = reading;
+            } = partial;
             let rest = stream.finish().await;
             (tenant, ask, began, text, rest)
         });
@@ -189,8 +202,11 @@
         recorder.note(sent(&fleet, tenant, &ask), began, CallOutcome::from(&rest));
     }
     for at in [first, second] {
-        fleet.routers[at].restart().expect("it starts");
-        fleet.routers[at].ready().await.expect("it is ready");
+        fleet.routers[at].restart().expect("the process starts");
+        fleet.routers[at]
+            .ready()
+            .await
+            .expect("the process is ready");
     }
     let history = check_all(&fleet, recorder.calls()).await;
     let once = history.runs.iter().all(|run| run.executions == 1);
@@ -203,13 +219,13 @@
     tenant: usize,
     router: usize,
     ask: ChatRequest,
-) -> Reading {
+) -> PartialAnswer {
     let began = recorder.tick();
     let caller = fleet.caller(tenant);
     let stream = until("a stream", async || {
         caller.begin(fleet.router(router), &ask).await.ok()
     });
-    Reading {
+    PartialAnswer {
         tenant,
         began,
         stream: stream.await.expect("the router takes it"),
@@ -219,20 +235,20 @@
     }
 }
 
-/// A stream is nobody's but its own workspace's, and no id can be made up.
-async fn refuse_strangers(fleet: &Fleet, draw: &mut SeededRng, readings: &[Reading]) {
-    for reading in readings {
-        let stranger = fleet.caller(draw.other(TENANTS.len(), reading.tenant));
+/// Checks that only the stream's workspace can resume it, and that ids can't be forged.
+async fn check_foreign_resumes(fleet: &Fleet, draw: &mut SeededRng, partials: &[PartialAnswer]) {
+    for partial in partials {
+        let stranger = fleet.caller(draw.other(TENANTS.len(), partial.tenant));
         let router = fleet.router(draw.index(4));
-        let refused = stranger.resume(router, &reading.last).await;
+        let refused = stranger.resume(router, &partial.last).await;
         assert_refused(refused, 403);
-        let owner = fleet.caller(reading.tenant);
-        let refused = owner.resume(router, &forged(&reading.last)).await;
+        let owner = fleet.caller(partial.tenant);
+        let refused = owner.resume(router, &forged(&partial.last)).await;
         assert_refused(refused, 400);
     }
 }
 
-/// The id with one character of its token changed.
+/// Returns the id with one character of its token changed.
 fn forged(id: &str) -> String {
     let at = id.len() / 3;
     let other = if id.as_bytes()[at] == b'A' { "B" } else { "A" };
--- a/tests/testsuite/billing.rs
+++ b/tests/testsuite/billing.rs
@@ -1,5 +1,5 @@
 //! Each accepted and completed request is billed exactly once, with the tokens that
-//! its caller was told.
+//! the answer reports to its caller.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,30 +20,30 @@
 
 use crate::support::{check_all, new_key, plan, send, sent, tokens};
 
-/// Rights that each claim brings, enough for a log outage (tokens).
-const AHEAD: u64 = 20_000;
-/// A key is served long before so many tries.
-const TRIES: usize = 300;
-/// Looks at a budget whose rights must stay in quarantine.
-const LOOKS: usize = 15;
-/// Pause between the tries of one key, and between looks.
+/// Quota per claim, enough for a log outage (tokens).
+const GRANT: u64 = 20_000;
+/// Maximum number of tries of a key, far above what serving it takes.
+const MAX_TRIES: usize = 300;
+/// Number of polls of a budget whose quota must stay in quarantine.
+const POLLS: usize = 15;
+/// Pause between the tries of one key, and between polls.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-fn four() -> Plan {
-    // An answer's end waits longer than any of the tests needs to kill its router.
+fn four_domains() -> Plan {
+    // The end of an answer is held back for longer than a test takes to kill its router.
     plan().vms(4, 4).router(json!({ "settle_wait_ms": 20_000 }))
 }
 
-/// Starts the fleet and sees to it that every router holds rights.
+/// Starts the fleet and waits until every router holds quota.
 async fn start(plan: Plan) -> (Arc<Recorder>, Fleet) {
     let fleet = plan.start().await.expect("the fleet starts");
-    let spec = json!({ "min_grant": AHEAD });
+    let spec = json!({ "min_grant": GRANT });
     let version = fleet.api.apply(vec![change("budget", "lannec", spec)]);
-    let version = version.await.expect("a change");
+    let version = version.await.expect("the change is accepted");
     fleet
         .wait_for_version(version)
         .await
-        .expect("it is in force");
+        .expect("the version is in force");
     let recorder = Arc::new(Recorder::default());
     for router in 0..fleet.routers.len() {
         served(&fleet, &recorder, router).await;
@@ -61,7 +61,7 @@
     answer.await.expect("the router serves in the end");
 }
 
-fn questions(draw: &mut SeededRng, count: usize) -> Vec<ChatRequest> {
+fn requests(draw: &mut SeededRng, count: usize) -> Vec<ChatRequest> {
     let mut asks = Vec::new();
     for number in 0..count {
         let length = 1 + draw.below(40);
@@ -73,9 +73,9 @@
     asks
 }
 
-/// Sends the key at the routers `at` in turn until a whole answer comes.
-async fn insist(fleet: &Fleet, recorder: &Recorder, at: &[usize], ask: &ChatRequest) {
-    for number in 0..TRIES {
+/// Sends the key to the routers `at` in turn until a complete answer arrives.
+async fn send_until_served(fleet: &Fleet, recorder: &Recorder, at: &[usize], ask: &ChatRequest) {
+    for number in 0..MAX_TRIES {
         let answer = send(fleet, recorder, 0, at[number % at.len()], ask).await;
         if answer.is_served() {
             assert_eq!(answer.charged, Some(tokens(ask)), "{answer:?}");
@@ -86,7 +86,7 @@
     panic!("never served: {ask:?}");
 }
 
-/// Checks that exactly the keys with a whole answer are charged, each once.
+/// Checks that exactly the keys with a complete answer are charged, each once.
 async fn check_bills(fleet: &Fleet, recorder: &Recorder) -> History {
     let history = check_all(fleet, recorder.calls()).await;
     let whole = |end: &CallOutcome| matches!(end, CallOutcome::Complete { .. });
@@ -98,7 +98,7 @@
     history
 }
 
-/// Charges on the log that were void because their key had been charged.
+/// Counts the charges on the log that are void because their key was charged before.
 fn second_charges(history: &History) -> usize {
     let mut count = 0;
     for stream in &history.streams {
@@ -121,26 +121,30 @@
 
 async fn switch_log(fleet: &Fleet, out: bool) {
     let switched = fleet.log.set(json!({ "outage": out })).await;
-    switched.expect("a switch");
+    switched.expect("the switch is set");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn one_key_at_two_routers_is_billed_once() {
-    rounds("one_key_at_two_routers_is_billed_once", doubled).await;
+    rounds(
+        "one_key_at_two_routers_is_billed_once",
+        send_key_at_two_routers,
+    )
+    .await;
 }
 
-async fn doubled(mut draw: SeededRng) {
-    let (recorder, fleet) = start(four()).await;
+async fn send_key_at_two_routers(mut draw: SeededRng) {
+    let (recorder, fleet) = start(four_domains()).await;
     let fleet = Arc::new(fleet);
     let mut tasks = JoinSet::new();
-    for ask in questions(&mut draw, 30) {
+    for ask in requests(&mut draw, 30) {
         let first = draw.index(4);
         for router in [first, draw.other(4, first)] {
             let (fleet, recorder, ask) = (Arc::clone(&fleet), Arc::clone(&recorder), ask.clone());
             let wait = Duration::from_millis(draw.below(20));
             tasks.spawn(async move {
                 tokio::time::sleep(wait).await;
-                insist(&fleet, &recorder, &[router], &ask).await;
+                send_until_served(&fleet, &recorder, &[router], &ask).await;
             });
         }
     }
@@ -155,11 +159,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_killed_before_the_release_bills_once() {
-    rounds("a_router_killed_before_the_release_bills_once", unreleased).await;
+    rounds(
+        "a_router_killed_before_the_release_bills_once",
+        kill_before_release,
+    )
+    .await;
 }
 
-async fn unreleased(mut draw: SeededRng) {
-    let (recorder, mut fleet) = start(four().relayed()).await;
+async fn kill_before_release(mut draw: SeededRng) {
+    let (recorder, mut fleet) = start(four_domains().relayed()).await;
     let victim = draw.index(4);
     let name = format!("router-{victim}");
     let frozen = RelayFault {
@@ -168,7 +176,7 @@
     };
     let to_ledgers = |from: &str, to: &str| from == name && to.starts_with("ledger-");
     assert!(fleet.net.set_where(frozen, to_ledgers) > 0);
-    let asks = questions(&mut draw, 8);
+    let asks = requests(&mut draw, 8);
     let mut tasks = JoinSet::new();
     for ask in &asks {
         let (sent, ask) = (sent(&fleet, 0, ask), ask.clone());
@@ -185,7 +193,7 @@
         };
         (asks.iter().filter(ran).count() == asks.len()).then_some(())
     });
-    all_ran.await.expect("the router dispatches on its rights");
+    all_ran.await.expect("the router dispatches on its quota");
     let outage_first = draw.chance(50);
     if outage_first {
         switch_log(&fleet, true).await;
@@ -200,16 +208,19 @@
     let others: Vec<_> = (0..4).filter(|at| *at != victim).collect();
     let thaw_first = draw.chance(50);
     if thaw_first {
-        // What the dead router had sent arrives at the ledgers now.
+        // Messages of the dead router that were in flight reach the ledgers now.
         fleet.net.heal();
     }
     for ask in &asks {
-        insist(&fleet, &recorder, &others, ask).await;
+        send_until_served(&fleet, &recorder, &others, ask).await;
     }
     fleet.net.heal();
     switch_log(&fleet, false).await;
-    fleet.routers[victim].restart().expect("it starts");
-    fleet.routers[victim].ready().await.expect("it is ready");
+    fleet.routers[victim].restart().expect("the process starts");
+    fleet.routers[victim]
+        .ready()
+        .await
+        .expect("the process is ready");
     served(&fleet, &recorder, victim).await;
     let history = check_bills(&fleet, &recorder).await;
     say(&format!(
@@ -219,27 +230,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_witnesses_lose_no_bill() {
-    rounds("killed_witnesses_lose_no_bill", unwitnessed).await;
+async fn charges_survive_killed_witnesses() {
+    rounds("charges_survive_killed_witnesses", kill_witnesses).await;
 }
 
-async fn unwitnessed(mut draw: SeededRng) {
-    let (recorder, mut fleet) = start(four()).await;
+async fn kill_witnesses(mut draw: SeededRng) {
+    let (recorder, mut fleet) = start(four_domains()).await;
     switch_log(&fleet, true).await;
-    for ask in questions(&mut draw, 12) {
-        insist(&fleet, &recorder, &[0, 1, 2, 3], &ask).await;
+    for ask in requests(&mut draw, 12) {
+        send_until_served(&fleet, &recorder, &[0, 1, 2, 3], &ask).await;
     }
-    // Every copy in a ledger's memory goes; the routers still have theirs.
+    // The ledgers lose every copy in memory; the routers keep theirs.
     for ledger in &mut fleet.ledgers {
         ledger.process.kill();
         if draw.chance(50) {
-            ledger.restart().expect("it starts");
+            ledger.restart().expect("the process starts");
         }
     }
     switch_log(&fleet, false).await;
     for ledger in &mut fleet.ledgers {
         if ledger.process.ended().is_some() {
-            ledger.restart().expect("it starts");
+            ledger.restart().expect("the process starts");
         }
     }
     for router in 0..4 {
@@ -251,53 +262,64 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_killed_after_the_release_is_billed_by_its_witness() {
     let name = "a_router_killed_after_the_release_is_billed_by_its_witness";
-    rounds(name, released).await;
+    rounds(name, kill_after_release).await;
 }
 
-async fn released(mut draw: SeededRng) {
-    let (recorder, mut fleet) = start(four()).await;
+async fn kill_after_release(mut draw: SeededRng) {
+    let (recorder, mut fleet) = start(four_domains()).await;
     switch_log(&fleet, true).await;
     let victim = draw.index(4);
-    for ask in questions(&mut draw, 12) {
-        insist(&fleet, &recorder, &[victim], &ask).await;
+    for ask in requests(&mut draw, 12) {
+        send_until_served(&fleet, &recorder, &[victim], &ask).await;
     }
     fleet.routers[victim].process.kill();
     if draw.chance(50) {
-        // The successor waits for the log to join and to free what is left.
-        fleet.routers[victim].restart().expect("it starts");
+        // The successor needs the log to join and to release the remaining quota.
+        fleet.routers[victim].restart().expect("the process starts");
         switch_log(&fleet, false).await;
     } else {
         switch_log(&fleet, false).await;
-        fleet.routers[victim].restart().expect("it starts");
+        fleet.routers[victim].restart().expect("the process starts");
     }
-    fleet.routers[victim].ready().await.expect("it is ready");
+    fleet.routers[victim]
+        .ready()
+        .await
+        .expect("the process is ready");
     served(&fleet, &recorder, victim).await;
     check_bills(&fleet, &recorder).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_release_waits_for_the_charges_of_witnesses() {
-    rounds("a_release_waits_for_the_charges_of_witnesses", held_back).await;
+    rounds(
+        "a_release_waits_for_the_charges_of_witnesses",
+        delay_release,
+    )
+    .await;
 }
 
-async fn held_back(mut draw: SeededRng) {
-    let (recorder, mut fleet) = start(four().relayed()).await;
+async fn delay_release(mut draw: SeededRng) {
+    let (recorder, mut fleet) = start(four_domains().relayed()).await;
     let victim = draw.index(4);
     let own = format!("ledger-{victim}");
-    // The ledgers of the other failure domains store what they can't append.
+    // The ledgers of the other failure domains store charges that they can't append.
     let cut = |from: &str, to: &str| from.starts_with("ledger-") && to == "log" && from != own;
     assert_eq!(fleet.net.cut_where(cut), 3);
-    for ask in questions(&mut draw, 12) {
-        insist(&fleet, &recorder, &[victim], &ask).await;
+    for ask in requests(&mut draw, 12) {
+        send_until_served(&fleet, &recorder, &[victim], &ask).await;
     }
     fleet.routers[victim].process.kill();
-    fleet.routers[victim].restart().expect("it starts");
-    fleet.routers[victim].ready().await.expect("it is ready");
-    // The only ledger that reaches the log must not free what the others' charges draw on.
+    fleet.routers[victim].restart().expect("the process starts");
+    fleet.routers[victim]
+        .ready()
+        .await
+        .expect("the process is ready");
+    // The only ledger that reaches the log must not release quota that charges stored at
+    // the other ledgers draw on.
     let retired = |budget: &Value| budget["quarantined"].as_u64() > Some(0);
     let seen = fleet.api.budget_until("lannec", retired).await;
     seen.expect("the successor retires it");
-    for _look in 0..LOOKS {
+    for _poll in 0..POLLS {
         let budget = fleet.api.budget("lannec").await.expect("a budget");
         assert!(retired(&budget), "released too early: {budget}");
         tokio::time::sleep(RETRY_PAUSE).await;
--- a/tests/testsuite/faults.rs
+++ b/tests/testsuite/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the parts around the whole path: links, processes, engines. Each history
-//! is checked from all sides.
+//! Faults around the request path: links, processes and engines. Each test runs all
+//! checks on its history.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 use crate::support::{check_all, expected, new_key, plan, send, sent};
 
-/// A planned stop must end within this.
+/// Time limit of a planned stop.
 const STOP_LIMIT: Duration = Duration::from_secs(30);
 
 fn ask(prompt: &str) -> ChatRequest {
     ChatRequest::new(MODEL, prompt).with_key(&new_key())
 }
 
-/// Sends requests through the router until one is served.
+/// Sends requests to the router until it serves one.
 async fn served(fleet: &Fleet, recorder: &Recorder, router: usize) {
     let what = format!("an answer of router {router}");
     until(&what, async || {
@@ -44,7 +44,10 @@
         json!({ "cut_after": 4, "reorder": true, "double": true }),
     ];
     for fault in faults {
-        fleet.engines[0].set(fault.clone()).await.expect("a switch");
+        fleet.engines[0]
+            .set(fault.clone())
+            .await
+            .expect("the switch is set");
         for stream in [true, false] {
             let mut ask = ask("the whole answer tokens=11");
             ask.stream = stream;
@@ -62,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_cut_from_all_others_keeps_its_word() {
+async fn an_isolated_router_reports_true_outcomes() {
     let fleet = plan().relayed().start().await.expect("the fleet starts");
     let recorder = Recorder::default();
     served(&fleet, &recorder, 0).await;
@@ -75,13 +78,14 @@
             served_cut += 1;
             continue;
         }
-        // A relay that the cut hit may have run; whether `not-run` is true is checked below.
+        // A request that was being relayed at the cut may have run; the check of the history
+        // below verifies each `not-run`.
         let outcome = answer.outcome.as_deref();
         assert!(matches!(outcome, Some("not-run" | "unknown")), "{answer:?}");
     }
-    // No ledger can store a charge. One request may be taken before the router knows;
-    // its answer is released and its charge kept (docs/design/settlement.md, "Both
-    // out"). While that charge is unstored nothing more is taken.
+    // No ledger can store a charge. One request may be accepted before the router detects
+    // the outage; its answer is released and its charge kept (docs/design/settlement.md,
+    // "Both out"). While that charge is unstored, the router accepts no more requests.
     assert!(served_cut <= 1, "{served_cut} were served");
     send(&fleet, &recorder, 0, 1, &ask("elsewhere tokens=5")).await;
     fleet.net.heal();
@@ -96,17 +100,20 @@
     fleet.engines[0]
         .set(json!({ "pace_ms": 10 }))
         .await
-        .expect("a pace");
+        .expect("the pace is set");
     fleet.engines[1]
         .set(json!({ "pace_ms": 10 }))
         .await
-        .expect("a pace");
+        .expect("the pace is set");
     let ask = ask("killed in mid-stream tokens=40").streamed();
     let begun = recorder.tick();
     let caller = fleet.caller(0);
-    let mut stream = caller.begin(fleet.router(0), &ask).await.expect("a stream");
+    let mut stream = caller
+        .begin(fleet.router(0), &ask)
+        .await
+        .expect("the stream starts");
     for _event in 0..3 {
-        stream.next().await.expect("an event");
+        stream.next().await.expect("the stream has another event");
     }
     fleet.routers[0].process.kill();
     let cut = stream.finish().await;
@@ -117,13 +124,16 @@
     let rest = caller
         .resume(fleet.router(1), last)
         .await
-        .expect("a stream");
+        .expect("the stream starts");
     let mut rest = rest.finish().await;
     assert!(rest.is_served(), "{rest:?}");
     rest.text.insert_str(0, &cut.text);
     recorder.note(sent(&fleet, 0, &ask), begun, CallOutcome::from(&rest));
-    fleet.routers[0].restart().expect("it starts");
-    fleet.routers[0].ready().await.expect("it is ready");
+    fleet.routers[0].restart().expect("the process starts");
+    fleet.routers[0]
+        .ready()
+        .await
+        .expect("the process is ready");
     served(&fleet, &recorder, 0).await;
     check_all(&fleet, recorder.calls()).await;
 }
@@ -136,11 +146,11 @@
     fleet.engines[0]
         .set(json!({ "pace_ms": 20 }))
         .await
-        .expect("a pace");
+        .expect("the pace is set");
     fleet.engines[1]
         .set(json!({ "pace_ms": 20 }))
         .await
-        .expect("a pace");
+        .expect("the pace is set");
     let ask = ask("check the grid tokens=20").once();
     let record = sent(&fleet, 0, &ask);
     let (caller, router) = (fleet.caller(0), fleet.router(0));
@@ -171,14 +181,20 @@
     let mut fleet = plan().start().await.expect("the fleet starts");
     let recorder = Recorder::default();
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 20 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 20 }))
+            .await
+            .expect("the pace is set");
     }
     let caller = fleet.caller(0);
     let mut streams = Vec::new();
     for _stream in 0..4 {
         let ask = ask("in flight at the stop tokens=30").streamed();
         let begun = recorder.tick();
-        let stream = caller.begin(fleet.router(0), &ask).await.expect("a stream");
+        let stream = caller
+            .begin(fleet.router(0), &ask)
+            .await
+            .expect("the stream starts");
         streams.push((ask, begun, stream));
     }
     fleet.routers[0].process.terminate();
@@ -196,13 +212,13 @@
     let late = send(&fleet, &recorder, 0, 0, &ask("after the stop")).await;
     assert!(!late.is_served(), "{late:?}");
     check_all(&fleet, recorder.calls()).await;
-    // What the router held came back to the budget.
+    // The router's unused quota returns to the budget.
     let all_back = |budget: &serde_json::Value| {
         let field = |name| budget[name].as_u64().unwrap_or(0);
         field("free") + field("charged") == field("topped_up") && field("charged") > 0
     };
     let budget = fleet.api.budget_until("lannec", all_back).await;
-    budget.expect("unused rights come back");
+    budget.expect("unused quota is returned");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -212,7 +228,7 @@
     fleet.services[0]
         .set(json!({ "lose_answers": 1.0 }))
         .await
-        .expect("a switch");
+        .expect("the switch is set");
     let caller = fleet.caller(0);
     let path = format!("/services/{SERVICE}/extracts");
     let mut record = sent(&fleet, 0, &ask("unused"));
@@ -235,7 +251,7 @@
         .log
         .set(json!({ "lose_answers": 0.4 }))
         .await
-        .expect("a switch");
+        .expect("the switch is set");
     for round in 0..12 {
         send(
             &fleet,
@@ -250,7 +266,7 @@
         .log
         .set(json!({ "lose_answers": 0.0, "outage": true }))
         .await
-        .expect("a switch");
+        .expect("the switch is set");
     for round in 0..9 {
         send(
             &fleet,
@@ -262,7 +278,8 @@
         .await;
         let once = ask("not without the log tokens=6").once();
         let answer = send(&fleet, &recorder, 0, round % 3, &once).await;
-        // A relay that the cut hit may have run; whether `not-run` is true is checked below.
+        // A request that was being relayed at the cut may have run; the check of the history
+        // below verifies each `not-run`.
         let outcome = answer.outcome.as_deref();
         assert!(matches!(outcome, Some("not-run" | "unknown")), "{answer:?}");
     }
@@ -270,7 +287,7 @@
         .log
         .set(json!({ "outage": false }))
         .await
-        .expect("a switch");
+        .expect("the switch is set");
     for router in 0..3 {
         served(&fleet, &recorder, router).await;
     }
--- a/tests/testsuite/golden.rs
+++ b/tests/testsuite/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of whole sessions: what callers and operators send and are told, word
-//! for word, with keys, ports and times replaced.
+//! Golden files of sessions: the exact requests and answers of callers and operators,
+//! with keys, ports and times replaced.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 
 use crate::support::{binaries, expected, plan};
 
-/// Headers of answers that stand in the golden files.
-const SHOWN: [&str; 5] = [
+/// Answer headers that are written to the golden files.
+const SHOWN_HEADERS: [&str; 5] = [
     "content-type",
     "retry-after",
     "swiftlink-charged",
@@ -28,7 +28,7 @@
     "swiftlink-outcome",
 ];
 
-/// What differs from run to run, and what stands for it.
+/// Patterns of texts that vary between runs, and their replacements.
 const FILTERS: [(&str, &str); 10] = [
     (
         r"[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[0-9a-f]{4}-[0-9a-f]{12}",
@@ -51,7 +51,7 @@
     (r"/tmp/[.A-Za-z0-9]+/", "[dir]/"),
 ];
 
-/// The text of a session, in the order of events.
+/// The text of a session in order of events.
 #[derive(Default)]
 struct Session {
     text: String,
@@ -63,7 +63,7 @@
         self.text.push('\n');
     }
 
-    fn asked(&mut self, request: &Call, body: &str) {
+    fn write_request(&mut self, request: &Call, body: &str) {
         let target = request.uri().path_and_query();
         let target = target.map_or("/", |target| target.as_str());
         self.line(&format!("> {} {target}", request.method()));
@@ -78,9 +78,9 @@
         }
     }
 
-    fn told(&mut self, answer: &Answer) {
+    fn write_answer(&mut self, answer: &Answer) {
         self.line(&format!("< {}", answer.status));
-        for name in SHOWN {
+        for name in SHOWN_HEADERS {
             if let Some(value) = answer.header(name) {
                 self.line(&format!("< {name}: {value}"));
             }
@@ -95,17 +95,17 @@
         self.line("");
     }
 
-    /// Sends a request that is answered whole.
+    /// Sends a request and writes it with its complete answer.
     async fn call(&mut self, caller: &Caller, request: Call, body: &str) {
-        self.asked(&request, body);
-        self.told(&caller.send(request).await);
+        self.write_request(&request, body);
+        self.write_answer(&caller.send(request).await);
     }
 
     fn check(&self, name: &str) {
         self.check_with(name, &[]);
     }
 
-    /// Compares with the golden file after these replacements and the usual ones.
+    /// Compares with the golden file after `replaced` and the common filters are applied.
     fn check_with(&self, name: &str, replaced: &[(String, String)]) {
         let replaced = replaced.iter().map(|(pattern, text)| (&**pattern, &**text));
         let filters: Vec<(&str, &str)> = replaced.chain(FILTERS).collect();
@@ -115,8 +115,8 @@
     }
 }
 
-/// A version is an offset, and snapshots and copies of a set take offsets too; these
-/// replacements turn each version into what it is without them.
+/// Returns the replacements that renumber each version by its change set: a version is an
+/// offset, and snapshots and duplicates of a set take offsets as well.
 async fn versions(fleet: &Fleet) -> Vec<(String, String)> {
     let records = records::read(fleet.log.address(), CONFIG_STREAM).await;
     let mut ids = HashSet::new();
@@ -126,15 +126,15 @@
         if set.snapshot.is_some() || !ids.insert(set.id) {
             continue;
         }
-        // Ascending and never upwards, so that none is replaced twice.
+        // In ascending order and never to a larger number, so that no version is replaced twice.
         let pattern = format!(r#"(version\W+|  +){}\b"#, record.offset + 1);
         replaced.push((pattern, format!("${{1}}{}", ids.len())));
     }
     replaced
 }
 
-/// One VM and one engine, so that nothing depends on a choice among equals.
-async fn small(tenants: Vec<Tenant>) -> Fleet {
+/// One VM and one engine, so that the session depends on no choice between equals.
+async fn single_vm(tenants: Vec<Tenant>) -> Fleet {
     let plan = plan().vms(1, 1).engines(1).tenants(tenants);
     plan.start().await.expect("the fleet starts")
 }
@@ -146,7 +146,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_session() {
-    let fleet = small(vec![Tenant::new("lannec", 10_000), Tenant::new("poor", 0)]).await;
+    let fleet = single_vm(vec![Tenant::new("lannec", 10_000), Tenant::new("poor", 0)]).await;
     let caller = fleet.caller(0);
     let router = fleet.router(0);
     let mut session = Session::default();
@@ -166,8 +166,8 @@
 
     let ask = ChatRequest::new(MODEL, "the mill tokens=3").streamed();
     let body = ask.body().to_string();
-    session.asked(&chat(&caller, router, &body), &body);
-    session.told(&caller.ask(router, &ask).await);
+    session.write_request(&chat(&caller, router, &body), &body);
+    session.write_answer(&caller.ask(router, &ask).await);
 
     let path = format!("/services/{SERVICE}/parcels/88?layer=owner");
     let request = caller.request(Method::GET, router, &path, Bytes::new());
@@ -207,17 +207,20 @@
     fleet.engines[0]
         .set(json!({ "pace_ms": 20 }))
         .await
-        .expect("a pace");
+        .expect("the pace is set");
 
     let ask = ChatRequest::new(MODEL, "the boundary of parcel 7 tokens=12").streamed();
     let body = ask.body().to_string();
-    session.asked(&chat(&caller, fleet.router(0), &body), &body);
-    let mut stream = caller.begin(fleet.router(0), &ask).await.expect("a stream");
+    session.write_request(&chat(&caller, fleet.router(0), &body), &body);
+    let mut stream = caller
+        .begin(fleet.router(0), &ask)
+        .await
+        .expect("the stream starts");
     for _event in 0..3 {
-        stream.next().await.expect("an event");
+        stream.next().await.expect("the stream has another event");
     }
     let first = stream.disconnect();
-    session.told(&first);
+    session.write_answer(&first);
     session.line("(the caller leaves, and resumes at the other router)");
 
     let last = first.events[2].id.clone();
@@ -225,24 +228,24 @@
     let rest = caller
         .resume(fleet.router(1), &last)
         .await
-        .expect("a stream");
+        .expect("the stream starts");
     let rest = rest.finish().await;
-    session.told(&rest);
+    session.write_answer(&rest);
     assert_eq!(first.text + &rest.text, expected(&ask));
 
     session.line("(another workspace may not)");
     session.line(&format!("> last-event-id: {last}"));
     let refused = fleet.caller(1).resume(fleet.router(1), &last).await;
-    session.told(&refused.expect_err("a refusal"));
+    session.write_answer(&refused.expect_err("a refusal"));
 
-    let told = rest.charged;
-    let charged = |budget: &Value| budget["charged"].as_u64() == told;
+    let charge = rest.charged;
+    let charged = |budget: &Value| budget["charged"].as_u64() == charge;
     let budget = fleet.api.budget_until("lannec", charged).await;
     budget.expect("the run is charged once");
     session.check("resumed_session");
 }
 
-/// Runs the operators' command line; gives what it printed and its exit status.
+/// Runs the operator's command line; returns its output and exit status.
 fn cli(fleet: &Fleet, dir: &Path, words: &[&str]) -> String {
     let token = dir.join("token");
     std::fs::write(&token, TOKEN).expect("the token can be written");
@@ -262,8 +265,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_session() {
-    let fleet = small(vec![Tenant::new("lannec", 10_000)]).await;
-    let dir = tempfile::tempdir().expect("a directory");
+    let fleet = single_vm(vec![Tenant::new("lannec", 10_000)]).await;
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let mut session = Session::default();
     let file = |name: &str, text: &str| {
         let path = dir.path().join(name);
@@ -312,7 +315,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_watch_session() {
-    let fleet = small(vec![Tenant::new("lannec", 10_000)]).await;
+    let fleet = single_vm(vec![Tenant::new("lannec", 10_000)]).await;
     let first = fleet.api.apply(vec![budget("watched", 10)]).await;
     let first = first.expect("it is accepted");
     fleet
--- a/tests/testsuite/hammer.rs
+++ b/tests/testsuite/hammer.rs
@@ -1,4 +1,4 @@
-//! Many callers of several workspaces that use all routers of a fleet at once.
+//! A load generator: concurrent callers of several workspaces at all routers of a fleet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,30 +23,30 @@
 /// Largest answer (tokens).
 pub const ANSWER: u64 = 24;
 
-/// One answer as it was told.
+/// One answer as its caller received it.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// Number of the router.
+pub struct AnswerRecord {
+    /// Index of the router.
     pub router: usize,
-    /// `served`, or the kind of the refusal, or `cut`.
-    pub what: String,
-    /// Budget tokens that the request may cost at most.
-    pub bound: u64,
-    /// Place in the recorder's order when it was sent.
+    /// `served`, `cut`, or the slug of the refusal.
+    pub result: String,
+    /// Maximum cost of the request (budget tokens).
+    pub max_cost: u64,
+    /// The recorder's tick at which the request was sent.
     pub began: u64,
 }
 
-/// How callers behave.
+/// Number of callers and their retries.
 #[derive(Clone, Copy, Debug)]
-pub struct Style {
-    /// Callers at once.
+pub struct LoadOptions {
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// How often a key is sent while its end is not known.
+    /// Maximum number of tries of a key while its outcome is unknown.
     pub tries: usize,
 }
 
-/// Running callers.
-pub struct Hammer {
+/// Tasks that send requests until they are stopped.
+pub struct LoadGenerator {
     shared: Arc<Shared>,
     tasks: JoinSet<()>,
 }
@@ -55,20 +55,20 @@
     recorder: Arc<Recorder>,
     routers: Vec<SocketAddr>,
     tenants: Vec<(Caller, String)>,
-    told: Mutex<Vec<Told>>,
+    told: Mutex<Vec<AnswerRecord>>,
     questions: AtomicU64,
     stopping: AtomicBool,
-    style: Style,
+    options: LoadOptions,
 }
 
-impl Hammer {
+impl LoadGenerator {
     /// Starts callers of the first `tenants` tenants at all routers of the fleet.
     pub fn spawn(
         fleet: &Fleet,
         recorder: &Arc<Recorder>,
         draw: &mut SeededRng,
         tenants: usize,
-        style: Style,
+        options: LoadOptions,
     ) -> Self {
         let tenant = |at| (fleet.caller(at), fleet.tenant(at).name.clone());
         let shared = Arc::new(Shared {
@@ -80,34 +80,38 @@
             told: Mutex::default(),
             questions: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
-            style,
+            options,
         });
         let mut tasks = JoinSet::new();
-        for caller in 0..style.callers {
+        for caller in 0..options.callers {
             tasks.spawn(Arc::clone(&shared).work(caller, draw.fork()));
         }
         Self { shared, tasks }
     }
 
-    /// All that was told so far.
-    pub fn told(&self) -> Vec<Told> {
-        self.shared.told.lock().expect("no holder panics").clone()
+    /// Returns all answers so far.
+    pub fn answers(&self) -> Vec<AnswerRecord> {
+        self.shared
+            .told
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone()
     }
 
-    /// Waits until what is told from now on satisfies `holds`.
-    pub async fn until(&self, what: &str, holds: impl Fn(&[Told]) -> bool) {
-        let past = self.told().len();
-        let seen = until(what, async || holds(&self.told()[past..]).then_some(()));
-        seen.await.expect("the callers get on");
+    /// Waits until the answers from now on satisfy `holds`.
+    pub async fn until(&self, what: &str, holds: impl Fn(&[AnswerRecord]) -> bool) {
+        let past = self.answers().len();
+        let seen = until(what, async || holds(&self.answers()[past..]).then_some(()));
+        seen.await.expect("the callers make progress");
     }
 
-    /// Lets all callers end, and gives what was told.
-    pub async fn stop(mut self) -> Vec<Told> {
+    /// Stops all callers and returns all answers.
+    pub async fn stop(mut self) -> Vec<AnswerRecord> {
         self.shared.stopping.store(true, Ordering::Relaxed);
         while let Some(ended) = self.tasks.join_next().await {
             ended.expect("no caller panics");
         }
-        self.told()
+        self.answers()
     }
 }
 
@@ -131,9 +135,9 @@
         ask
     }
 
-    /// Sends one key until its end is known, or the tries are used up.
+    /// Sends one key until its outcome is known or the tries are used up.
     async fn ask(&self, draw: &mut SeededRng, tenant: usize, mut router: usize, ask: &ChatRequest) {
-        for _try in 0..self.style.tries {
+        for _try in 0..self.options.tries {
             match self.send(tenant, router, ask).await {
                 CallOutcome::Complete { .. } => return,
                 CallOutcome::NotRun => return tokio::time::sleep(REFUSED_PAUSE).await,
@@ -149,13 +153,16 @@
         let began = self.recorder.tick();
         let answer = caller.ask(self.routers[router], ask).await;
         let end = CallOutcome::from(&answer);
-        let told = Told {
+        let told = AnswerRecord {
             router,
-            what: what(&answer),
-            bound: bound(ask),
+            result: result_of(&answer),
+            max_cost: max_cost(ask),
             began,
         };
-        self.told.lock().expect("no holder panics").push(told);
+        self.told
+            .lock()
+            .expect("the mutex is not poisoned")
+            .push(told);
         let sent = RequestInfo {
             key: ask.key.clone().expect("every question has a key"),
             workspace: name.clone(),
@@ -169,33 +176,33 @@
     }
 }
 
-fn what(answer: &Answer) -> String {
+fn result_of(answer: &Answer) -> String {
     if answer.is_served() {
         return "served".to_owned();
     }
     answer.slug().unwrap_or_else(|| "cut".to_owned())
 }
 
-/// The most that `ask` may cost, as the routers reserve it.
-pub fn bound(ask: &ChatRequest) -> u64 {
+/// Returns the maximum cost of `ask`, as the routers reserve it (budget tokens).
+pub fn max_cost(ask: &ChatRequest) -> u64 {
     let body = ask.body().to_string();
     let body = swiftlink_stream::parse_request(body.as_bytes(), true);
     let body = body.expect("the question is well-formed");
     swiftlink_stream::bound_tokens(&body, 256, 1).total()
 }
 
-/// Number of answers of each kind.
-pub fn counts(told: &[Told]) -> BTreeMap<&str, usize> {
+/// Counts the answers by result.
+pub fn counts(told: &[AnswerRecord]) -> BTreeMap<&str, usize> {
     let mut counts = BTreeMap::new();
     for told in told {
-        *counts.entry(told.what.as_str()).or_default() += 1;
+        *counts.entry(told.result.as_str()).or_default() += 1;
     }
     counts
 }
 
-/// Tokens that the engines ran for distinct keys, by budget: the whole run of a
-/// key where one came to its end, else what was begun.
-pub fn ran(history: &History) -> BTreeMap<String, u64> {
+/// Returns the tokens that the engines ran for distinct keys, by budget: those of a key's
+/// finished run if there is one, else the mean of its unfinished executions.
+pub fn tokens_run(history: &History) -> BTreeMap<String, u64> {
     let mut by_key: BTreeMap<&str, u64> = BTreeMap::new();
     for run in &history.runs {
         let begun = (run.prompt_tokens + run.completion_tokens) / run.executions.max(1);
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -1,5 +1,5 @@
-//! A leaving backend server gets no new work within 3 s of the first signal: each of
-//! the three signals alone, counted at the server itself.
+//! A draining backend server gets no new work within 3 s of the first signal. Each of the
+//! three signals is tested alone; the servers themselves count requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,32 +15,32 @@
 
 use crate::support::{check_all, plan};
 
-/// The promise: no new work later than this after the first signal.
-const BOUND: Duration = Duration::from_secs(3);
-/// How long new work is looked for after that.
+/// Longest time from the first signal to the last new work.
+const DRAIN_LIMIT: Duration = Duration::from_secs(3);
+/// Time after the limit in which no new work may arrive.
 const WINDOW: Duration = Duration::from_millis(1_500);
-/// Between two looks at the servers.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between two polls of the servers.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One server that leaves, and one of the same pool that stays.
+/// A server that drains, and one of the same pool that keeps serving.
 struct Pair {
-    leaves: &'static str,
-    stays: &'static str,
+    draining: &'static str,
+    serving: &'static str,
 }
 
 const PAIRS: [Pair; 2] = [
     Pair {
-        leaves: "engine-0",
-        stays: "engine-1",
+        draining: "engine-0",
+        serving: "engine-1",
     },
     Pair {
-        leaves: "service-0",
-        stays: "service-1",
+        draining: "service-0",
+        serving: "service-1",
     },
 ];
 
-/// Requests that each server has seen.
-type Seen = BTreeMap<String, u64>;
+/// Number of requests that each server received.
+type RequestCounts = BTreeMap<String, u64>;
 
 fn servers(fleet: &Fleet) -> impl Iterator<Item = &Standin> {
     fleet.engines.iter().chain(&fleet.services)
@@ -49,57 +49,60 @@
 fn server<'a>(fleet: &'a Fleet, name: &str) -> &'a Standin {
     let mut all = servers(fleet);
     let found = all.find(|server| server.process.name() == name);
-    found.expect("the fleet has it")
+    found.expect("the fleet has the server")
 }
 
-async fn seen(fleet: &Fleet) -> Seen {
-    let mut seen = Seen::new();
+async fn request_counts(fleet: &Fleet) -> RequestCounts {
+    let mut counts = RequestCounts::new();
     for server in servers(fleet) {
         let runs = server.runs().await.expect("the server answers");
         let sum = runs.iter().map(|run| run.seen).sum();
-        seen.insert(server.process.name().to_owned(), sum);
+        counts.insert(server.process.name().to_owned(), sum);
     }
-    seen
+    counts
 }
 
-/// Looks until `BOUND + WINDOW` after `signal`; checks that what leaves sees nothing
-/// in the window while the others do, and prints when it last saw something.
+/// Polls until `DRAIN_LIMIT + WINDOW` after `signal`; checks that draining servers receive
+/// nothing in the window while the others do, and prints the time of the last new work.
 async fn watch(fleet: &Fleet, what: &str, signal: Instant) {
     let mut last = BTreeMap::new();
-    let mut before = seen(fleet).await;
-    let mut at_bound = None;
-    while signal.elapsed() < BOUND + WINDOW {
+    let mut before = request_counts(fleet).await;
+    let mut at_limit = None;
+    while signal.elapsed() < DRAIN_LIMIT + WINDOW {
         let begun = signal.elapsed();
-        let now = seen(fleet).await;
+        let now = request_counts(fleet).await;
         for pair in &PAIRS {
-            if now[pair.leaves] > before[pair.leaves] {
-                last.insert(pair.leaves, signal.elapsed());
+            if now[pair.draining] > before[pair.draining] {
+                last.insert(pair.draining, signal.elapsed());
             }
         }
         before = now.clone();
-        // The count must be one that was read wholly after the bound.
-        if begun >= BOUND && at_bound.is_none() {
-            at_bound = Some(now);
+        // The read of this count must begin after the limit.
+        if begun >= DRAIN_LIMIT && at_limit.is_none() {
+            at_limit = Some(now);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let at_bound = at_bound.expect("the window is longer than a look");
-    let end = seen(fleet).await;
-    for Pair { leaves, stays } in &PAIRS {
-        let time = last.get(leaves).copied().unwrap_or_default();
+    let at_limit = at_limit.expect("the window is longer than the poll interval");
+    let end = request_counts(fleet).await;
+    for Pair { draining, serving } in &PAIRS {
+        let time = last.get(draining).copied().unwrap_or_default();
         say(&format!(
-            "leaving: {what}: {leaves} last saw new work {time:?} after the signal"
+            "leaving: {what}: {draining} last saw new work {time:?} after the signal"
         ));
         assert_eq!(
-            at_bound[*leaves], end[*leaves],
-            "{what}: new work at {leaves}"
+            at_limit[*draining], end[*draining],
+            "{what}: new work at {draining}"
+        );
+        assert!(
+            at_limit[*serving] < end[*serving],
+            "{what}: none at {serving}"
         );
-        assert!(at_bound[*stays] < end[*stays], "{what}: none at {stays}");
     }
 }
 
-/// What a router knows of a server, by its dump.
-async fn is_leaving(fleet: &Fleet, router: usize, name: &str) -> Option<bool> {
+/// Returns from a router's dump whether it knows the server as draining.
+async fn is_draining(fleet: &Fleet, router: usize, name: &str) -> Option<bool> {
     let dump = fleet.routers[router].dump().await?;
     for pool in dump["pools"].as_array()? {
         for server in pool["servers"].as_array()? {
@@ -111,15 +114,15 @@
     None
 }
 
-/// Waits until every router knows whether the servers of all pairs are leaving.
-async fn all_know(fleet: &Fleet, leaving: bool) {
+/// Waits until every router reports `leaving` for the draining server of each pair.
+async fn wait_until_known(fleet: &Fleet, leaving: bool) {
     for router in 0..fleet.routers.len() {
         for pair in &PAIRS {
-            let known = until("the routers to know", async || {
-                let known = is_leaving(fleet, router, pair.leaves).await?;
+            let known = until("the routers to report the state", async || {
+                let known = is_draining(fleet, router, pair.draining).await?;
                 (known == leaving).then_some(())
             });
-            known.await.expect("they know in the end");
+            known.await.expect("every router learns the state");
         }
     }
 }
@@ -132,8 +135,8 @@
     }
     for server in servers(fleet) {
         let name = server.process.name();
-        let leaves = PAIRS.iter().any(|pair| pair.leaves == name);
-        let state = if leaves { state } else { Some("live") };
+        let draining = PAIRS.iter().any(|pair| pair.draining == name);
+        let state = if draining { state } else { Some("live") };
         if let Some(state) = state {
             vms.push(json!({ "name": name, "domain": "domain-0", "state": state }));
         }
@@ -146,24 +149,31 @@
 async fn drain(fleet: &Fleet, drain: bool) {
     let mut changes = Vec::new();
     for (pair, pool) in PAIRS.iter().zip([MODEL, SERVICE]) {
-        let address = server(fleet, pair.leaves).address();
+        let address = server(fleet, pair.draining).address();
         let spec = json!({
             "pool": pool, "address": address, "domain": "domain-0",
-            "vm": pair.leaves, "drain": drain,
+            "vm": pair.draining, "drain": drain,
         });
-        changes.push(change("server", pair.leaves, spec));
+        changes.push(change("server", pair.draining, spec));
     }
-    fleet.api.apply(changes).await.expect("an apply");
+    fleet
+        .api
+        .apply(changes)
+        .await
+        .expect("the change is applied");
 }
 
 async fn switch(fleet: &Fleet, switches: Value) {
     for pair in &PAIRS {
-        let server = server(fleet, pair.leaves);
-        server.set(switches.clone()).await.expect("a switch");
+        let server = server(fleet, pair.draining);
+        server
+            .set(switches.clone())
+            .await
+            .expect("the switch is set");
     }
 }
 
-/// A fleet with the product's own intervals, and callers at it.
+/// Starts a fleet with the default intervals, and load on it.
 async fn begin(draw: &mut SeededRng) -> (Fleet, Arc<Recorder>, Traffic) {
     let plan = plan().engines(2).services(2);
     let fleet = plan.start().await.expect("the fleet starts");
@@ -174,14 +184,14 @@
     };
     let traffic = Traffic::start(&fleet, &recorder, draw, &mix);
     let busy = until("work at all servers", async || {
-        let seen = seen(&fleet).await;
-        seen.values().all(|seen| *seen > 3).then_some(())
+        let counts = request_counts(&fleet).await;
+        counts.values().all(|count| *count > 3).then_some(())
     });
     busy.await.expect("all servers get work");
     (fleet, recorder, traffic)
 }
 
-/// Nobody was refused for the sake of the server that left.
+/// Checks that no caller was refused because of the draining server.
 async fn end(fleet: &Fleet, recorder: &Recorder, traffic: Traffic) {
     for told in traffic.stop().await {
         assert!(told.answer.is_served(), "{told:?}");
@@ -194,7 +204,7 @@
     let history = async |mut draw: SeededRng| {
         let (fleet, recorder, traffic) = begin(&mut draw).await;
         drain(&fleet, true).await;
-        // `apply` has answered: the change is accepted.
+        // The change is accepted once `apply` has returned.
         watch(&fleet, "resource set to drain", Instant::now()).await;
         end(&fleet, &recorder, traffic).await;
     };
@@ -202,37 +212,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_on_a_leaving_vm_gets_no_new_work() {
+async fn a_server_on_a_draining_vm_gets_no_new_work() {
     let history = async |mut draw: SeededRng| {
         let (fleet, recorder, traffic) = begin(&mut draw).await;
         list(&fleet, Some("leaving")).await;
         watch(&fleet, "VM listed as leaving", Instant::now()).await;
         list(&fleet, Some("live")).await;
-        all_know(&fleet, false).await;
+        wait_until_known(&fleet, false).await;
         list(&fleet, None).await;
         watch(&fleet, "VM gone from the list", Instant::now()).await;
         end(&fleet, &recorder, traffic).await;
     };
-    rounds("a_server_on_a_leaving_vm_gets_no_new_work", history).await;
+    rounds("a_server_on_a_draining_vm_gets_no_new_work", history).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_says_so_gets_no_new_work() {
+async fn a_server_that_announces_draining_gets_no_new_work() {
     let history = async |mut draw: SeededRng| {
         let (fleet, recorder, traffic) = begin(&mut draw).await;
-        // It would still take work, so that the count shows what it is sent.
+        // The server still accepts work, so its count shows what routers send.
         switch(&fleet, json!({ "told_draining": true })).await;
         watch(&fleet, "its load report", Instant::now()).await;
         switch(&fleet, json!({ "told_draining": false })).await;
-        all_know(&fleet, false).await;
+        wait_until_known(&fleet, false).await;
         switch(&fleet, json!({ "draining": true })).await;
         let signal = Instant::now();
-        all_know(&fleet, true).await;
+        wait_until_known(&fleet, true).await;
         let time = signal.elapsed();
         say(&format!(
-            "leaving: its refusal: all routers knew after {time:?}"
+            "leaving: its refusal: known to all routers after {time:?}"
         ));
         end(&fleet, &recorder, traffic).await;
     };
-    rounds("a_server_that_says_so_gets_no_new_work", history).await;
+    rounds("a_server_that_announces_draining_gets_no_new_work", history).await;
 }
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The test suite: whole processes on loopback, one module per topic.
+//! Whole-system tests: all processes on loopback, one module per topic.
 
 mod answers;
 mod billing;
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -1,6 +1,6 @@
-//! At most once: requests that may not run twice, model and plain service alike,
-//! while routers are killed, frozen for longer than any of their time-outs, and cut,
-//! and callers take the same key to other routers.
+//! At-most-once execution of model and plain service requests that may not run twice,
+//! while routers are killed, frozen for longer than any of their timeouts or cut off, and
+//! callers retry the same key at other routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,23 +18,23 @@
 
 use crate::support::{check_all, new_key, plan};
 
-/// Longest of the routers' time-outs, which the settings below set (ms).
-const LONGEST_MS: u64 = 1_200;
-/// A router stands still for so long: longer than any of its time-outs.
-const FREEZE: Duration = Duration::from_millis(LONGEST_MS + 800);
-/// How long a cut or an outage lasts.
-const CUT: Duration = Duration::from_millis(LONGEST_MS);
-/// Cuts of a server's links in a row.
-const CUTS: usize = 8;
-/// Keys that are taken from router to router at once.
+/// Longest of the routers' timeouts that the settings below set (ms).
+const MAX_TIMEOUT_MS: u64 = 1_200;
+/// Time that a router is frozen: longer than any of its timeouts.
+const FREEZE_TIME: Duration = Duration::from_millis(MAX_TIMEOUT_MS + 800);
+/// Duration of a cut or an outage.
+const CUT_TIME: Duration = Duration::from_millis(MAX_TIMEOUT_MS);
+/// Number of successive cuts of a server's links.
+const CUT_COUNT: usize = 8;
+/// Number of keys that are tried at every router concurrently.
 const KEYS: usize = 40;
-/// A caller waits so long for an answer before it goes to the next router.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time that a caller waits for an answer before it tries the next router.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Settings of routers whose time-outs are all below [`FREEZE`].
-fn short() -> Value {
+/// Router settings with all timeouts below [`FREEZE_TIME`].
+fn short_timeouts() -> Value {
     json!({
-        "deadline_ms": LONGEST_MS, "stale_ms": LONGEST_MS, "stall_ms": LONGEST_MS,
+        "deadline_ms": MAX_TIMEOUT_MS, "stale_ms": MAX_TIMEOUT_MS, "stall_ms": MAX_TIMEOUT_MS,
         "claim_wait_ms": 400, "intent_wait_ms": 400, "ledger_try_ms": 150,
         "settle_wait_ms": 400, "settle_retry_ms": 400, "resume_ms": 400,
         "connect_ms": 200, "report_ms": 200, "vms_ms": 300,
@@ -42,9 +42,9 @@
     })
 }
 
-/// What befalls a router.
+/// A fault around one router.
 #[derive(Clone, Copy, Debug)]
-enum Blow {
+enum Fault {
     Kill,
     Freeze,
     CutAll,
@@ -53,7 +53,7 @@
     FreezeLedgers,
 }
 
-impl Blow {
+impl Fault {
     const ALL: [Self; 6] = [
         Self::Kill,
         Self::Freeze,
@@ -63,44 +63,44 @@
         Self::FreezeLedgers,
     ];
 
-    async fn fall(self, fleet: &mut Fleet, at: usize) {
+    async fn inject(self, fleet: &mut Fleet, at: usize) {
         let router = format!("router-{at}");
         match self {
             Self::Kill => {
-                fleet.routers[at].restart().expect("it starts again");
+                fleet.routers[at].restart().expect("the process restarts");
                 let ready = fleet.routers[at].ready().await;
-                ready.expect("it is ready again");
+                ready.expect("the process is ready again");
             }
             Self::Freeze => {
                 fleet.routers[at].process.freeze();
-                tokio::time::sleep(FREEZE).await;
+                tokio::time::sleep(FREEZE_TIME).await;
                 fleet.routers[at].process.thaw();
             }
             Self::CutAll => {
                 fleet.net.cut(&router);
-                tokio::time::sleep(CUT).await;
+                tokio::time::sleep(CUT_TIME).await;
             }
             Self::CutLedgers => {
                 let links = |from: &str, to: &str| from == router && to.starts_with("ledger");
                 fleet.net.cut_where(links);
-                tokio::time::sleep(CUT).await;
+                tokio::time::sleep(CUT_TIME).await;
             }
             Self::CutServers => {
-                // Another server of the pool could take the work over, and must not.
-                for _cut in 0..CUTS {
+                // Another server of the pool could take over the work, but must not.
+                for _cut in 0..CUT_COUNT {
                     fleet
                         .net
                         .cut_where(|_from, to| to == "engine-0" || to == "service-0");
-                    tokio::time::sleep(CUT / 20).await;
+                    tokio::time::sleep(CUT_TIME / 20).await;
                     fleet.net.heal();
-                    tokio::time::sleep(CUT / 5).await;
+                    tokio::time::sleep(CUT_TIME / 5).await;
                 }
             }
             Self::FreezeLedgers => {
                 for ledger in &mut fleet.ledgers {
                     ledger.process.freeze();
                 }
-                tokio::time::sleep(CUT / 2).await;
+                tokio::time::sleep(CUT_TIME / 2).await;
                 for ledger in &mut fleet.ledgers {
                     ledger.process.thaw();
                 }
@@ -110,17 +110,17 @@
     }
 }
 
-/// Waits until more is served than before.
-async fn goes_on(traffic: &Traffic) {
+/// Waits until the fleet serves more requests.
+async fn wait_for_answers(traffic: &Traffic) {
     let before = traffic.served();
-    let on = until("answers after the blow", async || {
+    let on = until("answers after the fault", async || {
         (traffic.served() > before + 2).then_some(())
     });
     on.await.expect("the fleet serves again");
 }
 
-/// The history is worth something: many keys ran, and many were taken elsewhere.
-fn check_worth(told: &[AttemptRecord], history: &History) {
+/// Checks the coverage: keys that ran were also tried at other routers.
+fn check_coverage(told: &[AttemptRecord], history: &History) {
     let mut routers: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
     for told in told {
         routers.entry(&told.key).or_default().insert(told.router);
@@ -134,7 +134,7 @@
     let both = history.runs.iter().filter(ran);
     let both = both.filter(|run| moved.contains(run.key.as_str())).count();
     say(&format!(
-        "once: {} keys, {} taken to another router, {both} of those ran, none twice",
+        "once: {} keys, {} also tried at another router, {both} of those ran, none twice",
         routers.len(),
         moved.len()
     ));
@@ -146,38 +146,44 @@
 }
 
 async fn history(mut draw: SeededRng) {
-    let plan = plan().relayed().services(2).router(short());
+    let plan = plan().relayed().services(2).router(short_timeouts());
     let mut fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    // Intents take long enough that a blow often falls between win and dispatch.
+    // Intents are slow enough that a fault often falls between the won intent and dispatch.
     let log = json!({ "delay_ms": 20, "lose_answers": 0.1 });
-    fleet.log.set(log).await.expect("a switch");
+    fleet.log.set(log).await.expect("the switch is set");
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 10 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 10 }))
+            .await
+            .expect("the pace is set");
     }
     for service in &fleet.services {
-        service.set(json!({ "run_ms": 60 })).await.expect("a time");
+        service
+            .set(json!({ "run_ms": 60 }))
+            .await
+            .expect("the run time is set");
     }
     let mix = TrafficOptions {
         once: 100,
         service: 50,
         tries: 4,
-        try_timeout: PATIENCE,
+        try_timeout: ATTEMPT_TIMEOUT,
         ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
-    for blow in Blow::ALL {
-        goes_on(&traffic).await;
+    for fault in Fault::ALL {
+        wait_for_answers(&traffic).await;
         let at = draw.index(fleet.routers.len());
-        blow.fall(&mut fleet, at).await;
+        fault.inject(&mut fleet, at).await;
     }
-    goes_on(&traffic).await;
+    wait_for_answers(&traffic).await;
     let told = traffic.stop().await;
     let history = check_all(&fleet, recorder.calls()).await;
     for run in &history.runs {
         assert!(run.executions <= 1, "{run:?}");
     }
-    check_worth(&told, &history);
+    check_coverage(&told, &history);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -185,30 +191,34 @@
     rounds("what_may_not_run_twice_runs_at_most_once", history).await;
 }
 
-/// A caller that was told `not-run` is not told elsewhere that a run may exist.
+/// A key that one router refused as `not-run` is not reported by another as possibly run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_was_not_run_is_free_for_other_routers() {
     let plan = plan().router(json!({ "abandon_wait_ms": 20_000 }));
     let fleet = plan.start().await.expect("the fleet starts");
-    // Every router has rights enough, so that none relays.
+    // Every router has enough quota, so none relays.
     let spec = change("budget", "lannec", json!({ "min_grant": 20_000 }));
-    let version = fleet.api.apply(vec![spec]).await.expect("a change");
+    let version = fleet
+        .api
+        .apply(vec![spec])
+        .await
+        .expect("the change is accepted");
     fleet
         .wait_for_version(version)
         .await
-        .expect("it is in force");
+        .expect("the version is in force");
     for router in 0..fleet.routers.len() {
         let first = ChatRequest::new(MODEL, "first tokens=3").with_key(&new_key());
         let answer = fleet.caller(0).ask(fleet.router(router), &first).await;
         assert!(answer.is_served(), "{answer:?}");
     }
     let log = fleet.log.set(json!({ "delay_ms": 30 }));
-    log.await.expect("a delay");
+    log.await.expect("the delay is set");
     for engine in &fleet.engines {
         engine
             .set(json!({ "draining": true }))
             .await
-            .expect("a switch");
+            .expect("the switch is set");
     }
     let fleet = Arc::new(fleet);
     let mut calls = JoinSet::new();
--- a/tests/testsuite/outage.rs
+++ b/tests/testsuite/outage.rs
@@ -1,4 +1,4 @@
-//! A long outage of the log under load, and the appends when it is back.
+//! A long outage of the log under load, and the rate of appends after it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,29 +15,29 @@
 
 /// Number of ledgers.
 const LEDGERS: u64 = 4;
-/// Appends a second that the settings allow each ledger in the long run.
-const RATE: u64 = 10;
-/// Appends that they allow it at once after a quiet time.
-const BURST: u64 = 20;
-/// How long the log is out: several times the largest back-off.
-const OUTAGE: Duration = Duration::from_secs(9);
-/// Part of the outage's beginning that is not counted: the back-offs grow in it.
-const GROWTH: Duration = Duration::from_secs(3);
-/// Appends that each ledger and stream may try in a second of the outage.
-const TRIES: u64 = 2;
-/// How long the recovery is watched.
-const RECOVERY: Duration = Duration::from_secs(5);
-/// Between two looks at the log's counts.
-const LOOK: Duration = Duration::from_millis(25);
-/// Appends over its pace in a ledger's first second: each stream finds out for itself
-/// that the log is back.
-const SLACK: u64 = 3;
+/// Sustained append rate of each ledger by its settings (appends/s).
+const APPEND_RATE: u64 = 10;
+/// Burst of appends that the settings allow each ledger after a quiet time.
+const APPEND_BURST: u64 = 20;
+/// Duration of the outage: several times the maximum backoff.
+const OUTAGE_TIME: Duration = Duration::from_secs(9);
+/// Start of the outage that is not counted, because the backoffs still grow.
+const BACKOFF_GROWTH: Duration = Duration::from_secs(3);
+/// Maximum append tries of each ledger and stream during the outage (tries/s).
+const MAX_TRIES: u64 = 2;
+/// Time for which the recovery is observed.
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
+/// Interval between two polls of the log's counts.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Appends allowed above the rate in a ledger's first second: each stream probes by itself
+/// whether the log is available again.
+const PROBE_ALLOWANCE: u64 = 3;
 
-/// Appends by ledger.
+/// Number of appends by ledger.
 type Counts = BTreeMap<String, u64>;
 
-/// Appends that the ledgers sent, failed ones included.
-async fn sent(fleet: &Fleet) -> u64 {
+/// Counts the appends that the ledgers sent, including failed ones.
+async fn count_sent(fleet: &Fleet) -> u64 {
     let mut sum = 0;
     for ledger in &fleet.ledgers {
         let status = ledger.status().await.expect("the ledger answers");
@@ -46,8 +46,8 @@
     sum
 }
 
-/// Appends that the log has taken.
-async fn taken(fleet: &Fleet) -> Counts {
+/// Counts the appends that the log accepted, by ledger.
+async fn count_accepted(fleet: &Fleet) -> Counts {
     let counts = fleet.log.get("/_standin/counts").await;
     let mut counts = counts.expect("the log answers");
     let agents = serde_json::from_value(counts["agents"].take());
@@ -56,26 +56,26 @@
     agents
 }
 
-/// What the log took in the recovery.
+/// Appends that the log accepted during the recovery.
 #[derive(Debug, Default)]
 struct Recovery {
     /// Appends of each ledger in the second that begins with its first one.
     first: Counts,
-    /// The most that all ledgers appended in any second.
-    worst: u64,
+    /// Largest number of appends of all ledgers in any second.
+    peak: u64,
 }
 
-/// Watches the log's counts from `before` on.
+/// Polls the log's counts and compares them with `before`.
 async fn watch(fleet: &Fleet, before: Counts) -> Recovery {
     let second = Duration::from_secs(1);
     let mut recovery = Recovery::default();
     let mut starts: BTreeMap<String, Instant> = BTreeMap::new();
     let begun = Instant::now();
-    let mut looks = VecDeque::from([(begun, before.clone())]);
-    while begun.elapsed() < RECOVERY {
-        tokio::time::sleep(LOOK).await;
-        let last = looks.back().map_or(begun, |(at, _)| *at);
-        let now = taken(fleet).await;
+    let mut polls = VecDeque::from([(begun, before.clone())]);
+    while begun.elapsed() < RECOVERY_TIME {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let last = polls.back().map_or(begun, |(at, _)| *at);
+        let now = count_accepted(fleet).await;
         // Read after the count, so that no window is shorter than it seems.
         let at = Instant::now();
         for (agent, count) in &now {
@@ -88,24 +88,24 @@
                 recovery.first.insert(agent.clone(), more);
             }
         }
-        while looks.len() > 1 && at.duration_since(looks[0].0) > second {
-            looks.pop_front();
+        while polls.len() > 1 && at.duration_since(polls[0].0) > second {
+            polls.pop_front();
         }
-        let then: u64 = looks[0].1.values().sum();
-        recovery.worst = recovery.worst.max(now.values().sum::<u64>() - then);
-        looks.push_back((at, now));
+        let then: u64 = polls[0].1.values().sum();
+        recovery.peak = recovery.peak.max(now.values().sum::<u64>() - then);
+        polls.push_back((at, now));
     }
     recovery
 }
 
 async fn switch(fleet: &Fleet, outage: bool) {
     let set = fleet.log.set(json!({ "outage": outage }));
-    set.await.expect("a switch");
+    set.await.expect("the switch is set");
 }
 
 async fn outage(mut draw: SeededRng) {
     let plan = plan().vms(4, 4);
-    let plan = plan.ledger(json!({ "append_rate": RATE, "append_burst": BURST }));
+    let plan = plan.ledger(json!({ "append_rate": APPEND_RATE, "append_burst": APPEND_BURST }));
     let fleet = plan.start().await.expect("the fleet starts");
     let writers = LEDGERS * u64::from(fleet.shards());
     let recorder = Arc::new(Recorder::default());
@@ -117,20 +117,20 @@
     let busy = until("answers", async || (traffic.served() > 200).then_some(()));
     busy.await.expect("the fleet serves");
     switch(&fleet, true).await;
-    tokio::time::sleep(GROWTH).await;
-    let (before, began) = (sent(&fleet).await, Instant::now());
-    tokio::time::sleep(OUTAGE - GROWTH).await;
-    let tried = sent(&fleet).await - before;
+    tokio::time::sleep(BACKOFF_GROWTH).await;
+    let (before, began) = (count_sent(&fleet).await, Instant::now());
+    tokio::time::sleep(OUTAGE_TIME - BACKOFF_GROWTH).await;
+    let tried = count_sent(&fleet).await - before;
     let tries = tried as f64 / began.elapsed().as_secs_f64();
     let waiting = traffic.served();
-    let before = taken(&fleet).await;
+    let before = count_accepted(&fleet).await;
     switch(&fleet, false).await;
-    let Recovery { first, worst } = watch(&fleet, before).await;
+    let Recovery { first, peak } = watch(&fleet, before).await;
     let streams = fleet.shards();
     say(&format!(
         "outage: {LEDGERS} ledgers with {streams} streams each tried {tries:.1} appends/s while \
-         the log was out; in their first second after it they made {first:?}, in the worst \
-         second {worst} together, with {waiting} answers given before"
+         the log was out; in their first second after it they made {first:?}, in the peak \
+         second {peak} together, with {waiting} answers given before"
     ));
     let served = traffic.served();
     let served = until("answers again", async || {
@@ -139,11 +139,17 @@
     served.await.expect("the fleet serves again");
     traffic.stop().await;
     check_all(&fleet, recorder.calls()).await;
-    assert!(tried > 0, "something waited for the log");
-    assert!(tries < (TRIES * writers) as f64, "{tries} appends/s tried");
+    assert!(tried > 0, "no append was tried during the outage");
+    assert!(
+        tries < (MAX_TRIES * writers) as f64,
+        "{tries} appends/s tried"
+    );
     assert_eq!(first.len() as u64, LEDGERS, "all ledgers append again");
     for (agent, count) in &first {
-        assert!(*count <= RATE + SLACK, "{agent}: {count} at once");
+        assert!(
+            *count <= APPEND_RATE + PROBE_ALLOWANCE,
+            "{agent}: {count} at once"
+        );
     }
 }
 
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -1,5 +1,5 @@
-//! The whole path, thin: a request from the caller to a backend server and back, its
-//! charge on the log, and every refusal of bad input.
+//! The request path: a request from the caller to a backend server and back, its charge
+//! on the log, and every refusal of invalid input.
 
 use http::Method;
 use serde_json::{Value, json};
@@ -11,8 +11,8 @@
 
 use crate::support::{check_all, expected, new_key, plan, send, tokens};
 
-/// More than all of a test's requests can cost (tokens).
-const PLENTY: u64 = 40_000_000;
+/// Budget above the cost of all requests of a test (tokens).
+const AMPLE_BUDGET: u64 = 40_000_000;
 const CHAT: &str = "/v1/chat/completions";
 
 fn ask(prompt: &str) -> ChatRequest {
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_whole_answer_is_charged_once() {
+async fn a_complete_answer_is_charged_once() {
     let fleet = fleet().await;
     let recorder = Recorder::default();
     let ask = ask("who owned parcel 1204 before 1950? tokens=12");
@@ -70,7 +70,7 @@
     assert_eq!(charged(&history), tokens(&ask));
 }
 
-/// The ids of all events end in 0, 1, 2, and share one resume token.
+/// Checks that the ids of all events end in 0, 1, 2, ... and share one resume token.
 fn assert_numbered(answer: &Answer) {
     let mut tokens = Vec::new();
     for (place, event) in answer.events.iter().enumerate() {
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn service_calls_are_passed_on_and_charged() {
+async fn service_calls_are_forwarded_and_charged() {
     let fleet = fleet().await;
     let recorder = Recorder::default();
     let caller = fleet.caller(0);
@@ -173,27 +173,27 @@
     assert_eq!(charged(&history), tokens(&ask));
 }
 
-/// What a refusal must be.
-struct Want {
+/// Expected fields of a refusal.
+struct ExpectedRefusal {
     status: u16,
     slug: &'static str,
     field: Option<&'static str>,
 }
 
-fn assert_refused(name: &str, answer: &Answer, want: &Want) {
-    assert_eq!(answer.status, want.status, "{name}: {answer:?}");
-    assert_eq!(answer.slug().as_deref(), Some(want.slug), "{name}");
+fn assert_refused(name: &str, answer: &Answer, refusal: &ExpectedRefusal) {
+    assert_eq!(answer.status, refusal.status, "{name}: {answer:?}");
+    assert_eq!(answer.slug().as_deref(), Some(refusal.slug), "{name}");
     assert_eq!(answer.outcome.as_deref(), Some("not-run"), "{name}");
     let kind = answer.header("content-type");
     assert_eq!(kind, Some("application/problem+json"), "{name}");
     let problem = answer.json();
-    assert_eq!(problem["status"], want.status, "{name}");
+    assert_eq!(problem["status"], refusal.status, "{name}");
     assert_eq!(problem["outcome"], "not-run", "{name}");
-    if let Some(field) = want.field {
+    if let Some(field) = refusal.field {
         assert_eq!(problem["field"], field, "{name}: {problem}");
     }
     let detail = problem["detail"].as_str().unwrap_or_default();
-    assert!(!detail.is_empty(), "{name}: a sentence for people");
+    assert!(!detail.is_empty(), "{name}: the detail is empty");
 }
 
 async fn post(fleet: &Fleet, caller: &Caller, body: &str) -> Answer {
@@ -215,18 +215,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_callers_are_refused() {
     let fleet = fleet().await;
-    let want = Want {
+    let refusal = ExpectedRefusal {
         status: 401,
         slug: "unauthenticated",
         field: None,
     };
     let stranger = Caller::new("sk-of-nobody");
     let answer = stranger.ask(fleet.router(0), &ask("hello")).await;
-    assert_refused("unknown key", &answer, &want);
+    assert_refused("unknown key", &answer, &refusal);
     let caller = fleet.caller(0);
     let mut request = caller.request(Method::POST, fleet.router(0), CHAT, "{}".into());
     request.headers_mut().remove("authorization");
-    assert_refused("no key", &caller.send(request).await, &want);
+    assert_refused("no key", &caller.send(request).await, &refusal);
     assert_nothing_ran(&fleet).await;
 }
 
@@ -234,7 +234,7 @@
 async fn unknown_models_pools_and_paths_are_refused() {
     let fleet = fleet().await;
     let caller = fleet.caller(0);
-    let want = Want {
+    let refusal = ExpectedRefusal {
         status: 404,
         slug: "unknown-pool",
         field: None,
@@ -242,15 +242,15 @@
     let answer = caller
         .ask(fleet.router(0), &ChatRequest::new("no-such-model", "hello"))
         .await;
-    assert_refused("model", &answer, &want);
-    // A pool of services is no model, and the other way round.
+    assert_refused("model", &answer, &refusal);
+    // A pool of services is not a model, and a model is not a pool of services.
     let answer = caller
         .ask(fleet.router(0), &ChatRequest::new(SERVICE, "hello"))
         .await;
-    assert_refused("service as model", &answer, &want);
+    assert_refused("service as model", &answer, &refusal);
     for path in ["/services/none/x", "/services/annals/x", "/v1/nothing"] {
         let call = caller.service(fleet.router(0), Method::GET, path, "", None);
-        assert_refused(path, &call.await, &want);
+        assert_refused(path, &call.await, &refusal);
     }
     assert_nothing_ran(&fleet).await;
 }
@@ -277,12 +277,12 @@
     ];
     for (field, body) in cases {
         let answer = post(&fleet, &caller, body).await;
-        let want = Want {
+        let refusal = ExpectedRefusal {
             status: 400,
             slug: "malformed",
             field: Some(field),
         };
-        assert_refused(body, &answer, &want);
+        assert_refused(body, &answer, &refusal);
     }
     assert_nothing_ran(&fleet).await;
 }
@@ -303,12 +303,12 @@
         let mut request = caller.request(Method::POST, fleet.router(0), CHAT, body);
         set(&mut request, header, value);
         let answer = caller.send(request).await;
-        let want = Want {
+        let refusal = ExpectedRefusal {
             status: 400,
             slug: "malformed",
             field: Some(header),
         };
-        assert_refused(header, &answer, &want);
+        assert_refused(header, &answer, &refusal);
     }
     assert_nothing_ran(&fleet).await;
 }
@@ -321,12 +321,12 @@
     let answer = caller
         .ask(fleet.router(0), &ask(&"parcel ".repeat(1_000)))
         .await;
-    let want = Want {
+    let refusal = ExpectedRefusal {
         status: 413,
         slug: "too-large",
         field: None,
     };
-    assert_refused("long body", &answer, &want);
+    assert_refused("long body", &answer, &refusal);
     assert_nothing_ran(&fleet).await;
 }
 
@@ -342,50 +342,56 @@
         .start()
         .await
         .expect("the fleet starts");
-    let want = Want {
+    let refusal = ExpectedRefusal {
         status: 402,
         slug: "no-budget",
         field: None,
     };
     for (tenant, router) in [(1, 0), (1, 1), (2, 2)] {
-        // The tight budget is smaller than the request's largest answer.
+        // The tight budget is smaller than the largest answer of the request.
         let answer = fleet
             .caller(tenant)
             .ask(fleet.router(router), &ask("hello"))
             .await;
-        assert_refused(&fleet.tenant(tenant).name, &answer, &want);
+        assert_refused(&fleet.tenant(tenant).name, &answer, &refusal);
     }
     assert_nothing_ran(&fleet).await;
-    // A top-up lets the next request through.
+    // After a top-up the next request is served.
     fleet
         .api
         .top_up("poor", "poor-1", 5_000)
         .await
         .expect("a top-up");
-    let served = swiftlink_testkit::until::until("the top-up to be of use", async || {
+    let served = swiftlink_testkit::until::until("the top-up to take effect", async || {
         let answer = fleet.caller(1).ask(fleet.router(0), &ask("hello")).await;
         answer.is_served().then_some(answer)
     });
     served.await.expect("the request is served in the end");
 }
 
-/// Routers 0 and 1, of which 1 knows that 0 holds much and holds little itself, in a
-/// budget with much to spare.
-async fn rich_neighbour() -> Fleet {
-    let plan = plan().vms(2, 2).tenants(vec![Tenant::new("rich", PLENTY)]);
+/// Starts routers 0 and 1. Router 0 holds most of the granted quota, router 1 knows this
+/// and holds little; the budget has plenty left.
+async fn start_with_rich_neighbour() -> Fleet {
+    let plan = plan()
+        .vms(2, 2)
+        .tenants(vec![Tenant::new("rich", AMPLE_BUDGET)]);
     let fleet = plan.start().await.expect("the fleet starts");
-    let dear = json!({ "price": 1_000_000 });
+    let class = json!({ "price": 1_000_000 });
     let set = async |least: u64| {
         let spec = json!({ "min_grant": least, "ahead_secs": 0 });
         let changes = vec![
             change("budget", "rich", spec),
-            change("class", "dear", dear.clone()),
+            change("class", "dear", class.clone()),
         ];
-        let version = fleet.api.apply(changes).await.expect("a change");
+        let version = fleet
+            .api
+            .apply(changes)
+            .await
+            .expect("the change is accepted");
         fleet
             .wait_for_version(version)
             .await
-            .expect("it is in force");
+            .expect("the version is in force");
     };
     let first = async |router: usize| {
         let answer = fleet
@@ -394,31 +400,34 @@
             .await;
         assert!(answer.is_served(), "{answer:?}");
     };
-    // A claim takes longer than a relay is expected to.
+    // A claim takes longer than a relay is expected to take.
     let slow = fleet.log.set(json!({ "delay_ms": 40 }));
-    slow.await.expect("a delay");
-    set(PLENTY / 4).await;
+    slow.await.expect("the delay is set");
+    set(AMPLE_BUDGET / 4).await;
     first(0).await;
     set(0).await;
     first(1).await;
     let budget = fleet.api.budget("rich").await.expect("a budget");
-    assert!(budget["free"].as_u64() >= Some(PLENTY / 2), "{budget}");
+    assert!(
+        budget["free"].as_u64() >= Some(AMPLE_BUDGET / 2),
+        "{budget}"
+    );
     fleet
 }
 
-fn dear(prompt: &str) -> ChatRequest {
+fn expensive_request(prompt: &str) -> ChatRequest {
     let mut ask = ask(prompt);
     ask.class = Some("dear".to_owned());
     ask
 }
 
-/// A holder of rights that can't be reached is no reason to refuse: the budget has more.
+/// An unreachable holder is no reason to refuse while the budget has quota left.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_holder_is_no_reason_to_refuse() {
-    let mut fleet = rich_neighbour().await;
+async fn an_unreachable_holder_causes_no_refusal() {
+    let mut fleet = start_with_rich_neighbour().await;
     fleet.routers[0].process.kill();
     for number in 0..3 {
-        let ask = dear(&format!("dear {number} tokens=9"));
+        let ask = expensive_request(&format!("dear {number} tokens=9"));
         let answer = fleet.caller(0).ask(fleet.router(1), &ask).await;
         assert!(answer.is_served(), "{number}: {answer:?}");
         assert_eq!(answer.charged, Some(1_000 * tokens(&ask)));
@@ -426,40 +435,43 @@
     check_all(&fleet, Vec::new()).await;
 }
 
-/// A resumption reads a run that exists, whatever it is refused for.
+/// The run that a resumption reads exists, so no refusal may report `not-run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resumption_is_never_told_as_not_run() {
+async fn a_resumption_is_never_reported_as_not_run() {
     let plan = plan().tenants(vec![Tenant::new("tight", 450)]);
     let mut fleet = plan.start().await.expect("the fleet starts");
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 20 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 20 }))
+            .await
+            .expect("the pace is set");
     }
-    // The stream's own router holds nearly all rights, and dies with them.
+    // The stream's own router holds nearly all quota when it is killed.
     let mut large = ask("at length tokens=100").streamed();
     large.max_tokens = 256;
     let caller = fleet.caller(0);
     let stream = caller.begin(fleet.router(0), &large).await;
-    let mut stream = stream.expect("a stream");
-    let event = stream.next().await.expect("an event");
+    let mut stream = stream.expect("the stream starts");
+    let event = stream.next().await.expect("the stream has another event");
     fleet.routers[0].process.kill();
     for router in [1, 2] {
         let resumed = caller.resume(fleet.router(router), &event.id).await;
-        let answer = resumed.expect_err("no rights are left");
+        let answer = resumed.expect_err("no quota is left");
         assert_eq!(answer.outcome.as_deref(), Some("unknown"), "{answer:?}");
         assert!(answer.header("retry-after").is_some(), "{answer:?}");
     }
 }
 
-/// A caller that is told of its deadline is told when to come back, too.
+/// A refusal because of a passed deadline says when to retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_passed_deadline_says_when_to_come_back() {
+async fn a_passed_deadline_is_refused_with_retry_after() {
     let plan = plan().engines(2);
     let fleet = plan.start().await.expect("the fleet starts");
     for engine in &fleet.engines {
         engine
             .set(json!({ "delay_ms": 5_000 }))
             .await
-            .expect("a delay");
+            .expect("the delay is set");
     }
     let mut late = ask("too late tokens=3");
     late.deadline_ms = Some(200);
--- a/tests/testsuite/refusals.rs
+++ b/tests/testsuite/refusals.rs
@@ -1,5 +1,5 @@
-//! "Not run" is true: one history through every kind of trouble, in which each key
-//! is tried once, so that no other try can explain a run or a charge.
+//! Every `not-run` is true: one history with all kinds of faults, in which each key is
+//! tried once, so that no other try can account for a run or a charge.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,24 +17,24 @@
 
 use crate::support::{check_all, new_key, plan, sent};
 
-/// Refusals of the wanted kind that end a phase.
-const ENOUGH: usize = 4;
-/// Tenant whose budget is too small for any request.
+/// Number of refusals of the wanted kind that end a phase.
+const REFUSALS_PER_PHASE: usize = 4;
+/// Index of the tenant whose budget is too small for any request.
 const POOR: usize = 1;
-/// Time between two cuts of the links to the backend servers.
-const FLAP: Duration = Duration::from_millis(200);
+/// Interval between two cuts of the links to the backend servers.
+const FLAP_INTERVAL: Duration = Duration::from_millis(200);
 /// Age over which the configuration counts as stale (ms).
 const STALE_MS: u64 = 1_500;
 
-/// One history and what was told in it.
-struct Story {
+/// A fleet with the answers that its callers received.
+struct Scenario {
     fleet: Fleet,
     recorder: Arc<Recorder>,
     draw: SeededRng,
     told: Vec<AttemptRecord>,
 }
 
-impl Story {
+impl Scenario {
     async fn begin(draw: SeededRng) -> Self {
         let tenants = vec![Tenant::new("lannec", 1_000_000), Tenant::new("poor", 3)];
         let plan = plan().tenants(tenants).relayed();
@@ -47,14 +47,16 @@
         }
     }
 
-    /// Callers of `mix` until enough of them were told `slug` with `outcome`.
+    /// Runs callers of `mix` until enough answers have `slug` and `outcome`.
     async fn phase(&mut self, mix: &TrafficOptions, slug: &str, outcome: &str) {
         let traffic = Traffic::start(&self.fleet, &self.recorder, &mut self.draw, mix);
         let what = format!("refusals {slug} {outcome}");
         let seen = until(&what, async || {
             let told = traffic.attempts();
-            let wanted = told.iter().filter(|told| is(&told.answer, slug, outcome));
-            (wanted.count() >= ENOUGH).then_some(())
+            let wanted = told
+                .iter()
+                .filter(|told| has_outcome(&told.answer, slug, outcome));
+            (wanted.count() >= REFUSALS_PER_PHASE).then_some(())
         });
         let seen = seen.await;
         let told = traffic.stop().await;
@@ -63,14 +65,14 @@
         self.told.extend(told);
     }
 
-    /// As [`Story::phase`], while the links to the backend servers are cut again and again.
+    /// As [`Scenario::phase`], while the links to the backend servers are cut repeatedly.
     async fn flapping(&mut self, mix: &TrafficOptions, slug: &str, outcome: &str) {
         let net = std::mem::take(&mut self.fleet.net);
         let flap = async {
             loop {
-                tokio::time::sleep(FLAP).await;
+                tokio::time::sleep(FLAP_INTERVAL).await;
                 net.cut_where(|from, _to| from == "routers");
-                tokio::time::sleep(FLAP / 10).await;
+                tokio::time::sleep(FLAP_INTERVAL / 10).await;
                 net.heal();
             }
         };
@@ -82,21 +84,26 @@
         self.fleet.net = net;
     }
 
-    async fn backends(&self, switches: Value) {
+    async fn set_servers(&self, switches: Value) {
         for standin in self.fleet.engines.iter().chain(&self.fleet.services) {
             let set = standin.set(switches.clone()).await;
-            set.expect("a switch");
+            set.expect("the switch is set");
         }
     }
 
     async fn apply(&self, changes: Vec<Value>) {
-        let version = self.fleet.api.apply(changes).await.expect("an apply");
+        let version = self
+            .fleet
+            .api
+            .apply(changes)
+            .await
+            .expect("the change is applied");
         let in_force = self.fleet.wait_for_version(version).await;
         in_force.expect("the configuration gets everywhere");
     }
 
-    /// Declares all backend servers at addresses that nothing listens on.
-    async fn take_down(&self) {
+    /// Moves all backend servers to addresses without a listener.
+    async fn make_unreachable(&self) {
         let mut changes = Vec::new();
         for (pool, standins) in [
             (MODEL, &self.fleet.engines),
@@ -111,11 +118,11 @@
     }
 }
 
-fn is(answer: &Answer, slug: &str, outcome: &str) -> bool {
+fn has_outcome(answer: &Answer, slug: &str, outcome: &str) -> bool {
     answer.slug().as_deref() == Some(slug) && answer.outcome.as_deref() == Some(outcome)
 }
 
-/// Number of answers by status, kind of refusal and outcome.
+/// Counts the answers by status, slug and outcome.
 fn counts(told: &[AttemptRecord]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for told in told {
@@ -128,8 +135,8 @@
     counts
 }
 
-/// Every refusal says what is known, and those that pass say when to come back.
-fn check_forms(told: &[AttemptRecord]) {
+/// Checks that every refusal has an outcome, and a retry time where it is temporary.
+fn check_refusals(told: &[AttemptRecord]) {
     for AttemptRecord { key, answer, .. } in told {
         if answer.status < 400 || answer.slug().is_none() {
             continue;
@@ -149,7 +156,7 @@
     }
 }
 
-/// No server saw, and no charge names, a key that was told `not-run`.
+/// Checks that no server and no charge has a key whose answer was `not-run`.
 fn check_not_run(told: &[AttemptRecord], history: &History) {
     let accounts = Accounts::fold(&history.streams);
     for AttemptRecord { key, answer, .. } in told {
@@ -166,125 +173,136 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_that_say_not_run_are_true() {
     rounds("refusals_that_say_not_run_are_true", async |draw| {
-        let mut story = Story::begin(draw).await;
-        overload(&mut story).await;
-        losses(&mut story).await;
-        servers(&mut story).await;
-        outages(&mut story).await;
-        stopping(&mut story).await;
-        check_forms(&story.told);
-        let history = check_all(&story.fleet, story.recorder.calls()).await;
-        check_not_run(&story.told, &history);
+        let mut scenario = Scenario::begin(draw).await;
+        overload(&mut scenario).await;
+        losses(&mut scenario).await;
+        servers(&mut scenario).await;
+        outages(&mut scenario).await;
+        stopping(&mut scenario).await;
+        check_refusals(&scenario.told);
+        let history = check_all(&scenario.fleet, scenario.recorder.calls()).await;
+        check_not_run(&scenario.told, &history);
     })
     .await;
 }
 
-async fn overload(story: &mut Story) {
+async fn overload(scenario: &mut Scenario) {
     let mix = TrafficOptions::new();
     let poor = TrafficOptions {
         tenant: POOR,
         ..mix.clone()
     };
-    story.phase(&poor, "no-budget", "not-run").await;
+    scenario.phase(&poor, "no-budget", "not-run").await;
     let queue = change("class", "standard", json!({ "queue": 2 }));
-    story.apply(vec![queue]).await;
-    for engine in &story.fleet.engines {
+    scenario.apply(vec![queue]).await;
+    for engine in &scenario.fleet.engines {
         let slow = json!({ "slots": 1, "pace_ms": 30 });
-        engine.set(slow).await.expect("a switch");
+        engine.set(slow).await.expect("the switch is set");
     }
     let many = TrafficOptions {
         callers: 32,
         service: 0,
         ..mix
     };
-    story.phase(&many, "overloaded", "not-run").await;
-    for engine in &story.fleet.engines {
+    scenario.phase(&many, "overloaded", "not-run").await;
+    for engine in &scenario.fleet.engines {
         let usual = json!({ "slots": 32, "pace_ms": 0 });
-        engine.set(usual).await.expect("a switch");
+        engine.set(usual).await.expect("the switch is set");
     }
     let queue = change("class", "standard", json!({}));
-    story.apply(vec![queue]).await;
+    scenario.apply(vec![queue]).await;
 }
 
-/// Answers that are lost after the work has begun: late, cut, or never given.
-async fn losses(story: &mut Story) {
+/// Loses answers after the work has begun: late, cut off or never sent.
+async fn losses(scenario: &mut Scenario) {
     let mix = TrafficOptions::new();
-    story.backends(json!({ "delay_ms": 400 })).await;
+    scenario.set_servers(json!({ "delay_ms": 400 })).await;
     let late = TrafficOptions {
         deadline_ms: Some(150),
         service: 0,
         ..mix.clone()
     };
-    story.phase(&late, "server-failed", "unknown").await;
-    story.backends(json!({ "delay_ms": 0 })).await;
-    for service in &story.fleet.services {
-        service.set(json!({ "run_ms": 300 })).await.expect("a time");
+    scenario.phase(&late, "server-failed", "unknown").await;
+    scenario.set_servers(json!({ "delay_ms": 0 })).await;
+    for service in &scenario.fleet.services {
+        service
+            .set(json!({ "run_ms": 300 }))
+            .await
+            .expect("the run time is set");
     }
     let cut = TrafficOptions {
         service: 100,
         ..mix.clone()
     };
-    story.flapping(&cut, "server-failed", "unknown").await;
-    for service in &story.fleet.services {
-        service.set(json!({ "run_ms": 0 })).await.expect("a time");
+    scenario.flapping(&cut, "server-failed", "unknown").await;
+    for service in &scenario.fleet.services {
+        service
+            .set(json!({ "run_ms": 0 }))
+            .await
+            .expect("the run time is set");
     }
     let hasty = TrafficOptions {
         deadline_ms: Some(2),
         ..mix
     };
-    story.phase(&hasty, "server-failed", "unknown").await;
+    scenario.phase(&hasty, "server-failed", "unknown").await;
 }
 
-async fn servers(story: &mut Story) {
+async fn servers(scenario: &mut Scenario) {
     let mix = TrafficOptions::new();
-    story.backends(json!({ "lose_answers": 0.7 })).await;
-    story.phase(&mix, "server-failed", "unknown").await;
-    story.backends(json!({ "lose_answers": 0.0 })).await;
-    story.backends(json!({ "fail_fast": true })).await;
-    story.phase(&mix, "server-failed", "unknown").await;
-    story.backends(json!({ "fail_fast": false })).await;
-    story.backends(json!({ "draining": true })).await;
-    story.phase(&mix, "no-server", "not-run").await;
-    story.backends(json!({ "draining": false })).await;
+    scenario.set_servers(json!({ "lose_answers": 0.7 })).await;
+    scenario.phase(&mix, "server-failed", "unknown").await;
+    scenario.set_servers(json!({ "lose_answers": 0.0 })).await;
+    scenario.set_servers(json!({ "fail_fast": true })).await;
+    scenario.phase(&mix, "server-failed", "unknown").await;
+    scenario.set_servers(json!({ "fail_fast": false })).await;
+    scenario.set_servers(json!({ "draining": true })).await;
+    scenario.phase(&mix, "no-server", "not-run").await;
+    scenario.set_servers(json!({ "draining": false })).await;
 }
 
-async fn outages(story: &mut Story) {
+async fn outages(scenario: &mut Scenario) {
     let mix = TrafficOptions::new();
-    let log = story.fleet.log.set(json!({ "outage": true }));
-    log.await.expect("a switch");
-    story.phase(&mix, "log-out", "not-run").await;
-    let log = story.fleet.log.set(json!({ "outage": false }));
-    log.await.expect("a switch");
-    story.fleet.net.cut("router-1");
+    let log = scenario.fleet.log.set(json!({ "outage": true }));
+    log.await.expect("the switch is set");
+    scenario.phase(&mix, "log-out", "not-run").await;
+    let log = scenario.fleet.log.set(json!({ "outage": false }));
+    log.await.expect("the switch is set");
+    scenario.fleet.net.cut("router-1");
     let patient = TrafficOptions {
         deadline_ms: Some(3_000),
         ..mix.clone()
     };
-    story.phase(&patient, "unavailable", "not-run").await;
-    story.fleet.net.heal();
-    story.take_down().await;
-    story.phase(&mix, "no-server", "not-run").await;
+    scenario.phase(&patient, "unavailable", "not-run").await;
+    scenario.fleet.net.heal();
+    scenario.make_unreachable().await;
+    scenario.phase(&mix, "no-server", "not-run").await;
 }
 
-/// The servers are down by now, but for one whose slow answer holds a stop up.
-async fn stopping(story: &mut Story) {
-    let slow = &story.fleet.engines[0];
-    slow.set(json!({ "pace_ms": 200 })).await.expect("a switch");
+/// Stops a router. All servers are unreachable by now except one, whose slow answer
+/// delays the stop.
+async fn stopping(scenario: &mut Scenario) {
+    let slow = &scenario.fleet.engines[0];
+    slow.set(json!({ "pace_ms": 200 }))
+        .await
+        .expect("the switch is set");
     let back = server(MODEL, "engine-0", slow.address(), "domain-0");
-    story.apply(vec![back]).await;
+    scenario.apply(vec![back]).await;
     let ask = ChatRequest::new(MODEL, "held until all is told tokens=50").with_key(&new_key());
     let ask = ask.streamed();
-    let begun = story.recorder.tick();
-    let caller = story.fleet.caller(0);
-    let router = story.fleet.router(2);
+    let begun = scenario.recorder.tick();
+    let caller = scenario.fleet.caller(0);
+    let router = scenario.fleet.router(2);
     let held = until("a stream", async || caller.begin(router, &ask).await.ok());
     let held = held.await.expect("the slow engine serves");
-    story.fleet.routers[2].process.terminate();
-    story
+    scenario.fleet.routers[2].process.terminate();
+    scenario
         .phase(&TrafficOptions::new(), "unavailable", "not-run")
         .await;
     let answer = held.finish().await;
     assert!(answer.is_served(), "{answer:?}");
-    let sent = sent(&story.fleet, 0, &ask);
-    story.recorder.note(sent, begun, CallOutcome::from(&answer));
+    let sent = sent(&scenario.fleet, 0, &ask);
+    scenario
+        .recorder
+        .note(sent, begun, CallOutcome::from(&answer));
 }
--- a/tests/testsuite/rejoin.rs
+++ b/tests/testsuite/rejoin.rs
@@ -1,4 +1,4 @@
-//! A router that the log retires while it lives: its VM is off the VM list for a while.
+//! The log retires a live router because its VM is off the VM list for a while.
 
 use std::time::{Duration, Instant};
 
@@ -16,17 +16,17 @@
 
 use crate::support::{check_all, new_key, plan, send, sent};
 
-/// Name of the budget, which is freed by proof only.
+/// Name of the budget, whose quota is released only by proof of death.
 const BUDGET: &str = "lannec";
 /// VM that is off the list for a while.
 const VM: &str = "vm-0";
-/// No look waits longer.
+/// Longest wait for a condition.
 const LIMIT: Duration = Duration::from_secs(30);
-/// How long the router is watched that must not join; a release takes about a second.
-const WATCH: Duration = Duration::from_secs(4);
+/// Time for which the router must not join; a release takes about a second.
+const WATCH_TIME: Duration = Duration::from_secs(4);
 
-/// Epochs of the VM's routers on the budget's stream: active ones and retired ones.
-async fn lives(fleet: &Fleet) -> Option<(Vec<u64>, Vec<u64>)> {
+/// Returns the epochs of the VM's active and retired routers on the budget's stream.
+async fn router_epochs(fleet: &Fleet) -> Option<(Vec<u64>, Vec<u64>)> {
     let shard = shard_of(BUDGET, fleet.shards());
     let name = stream_of(shard).to_string();
     let mut fold = Fold::empty();
@@ -43,7 +43,7 @@
     ))
 }
 
-/// Sets the VM list to all VMs from number `from` on.
+/// Sets the VM list to all VMs from index `from` on.
 async fn list(fleet: &Fleet, from: usize) {
     let mut vms = Vec::new();
     for at in from..fleet.routers.len() {
@@ -58,19 +58,19 @@
 async fn pace(fleet: &Fleet, ms: u64) {
     for engine in &fleet.engines {
         let set = engine.set(json!({ "pace_ms": ms })).await;
-        set.expect("a switch");
+        set.expect("the switch is set");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_live_router_that_was_retired_loses_no_charge() {
+async fn a_retired_live_router_loses_no_charge() {
     let plan = plan().router(json!({ "mark_ms": 200 }));
     let fleet = plan.start().await.expect("the fleet starts");
-    // Requests may be as large as it takes to make a router claim.
+    // Large requests are allowed, so that one forces the router to claim.
     let pool = json!({ "kind": "model", "max_tokens": 1_000_000 });
     let version = fleet.api.apply(vec![change("pool", MODEL, pool)]).await;
     fleet
-        .wait_for_version(version.expect("an apply"))
+        .wait_for_version(version.expect("the change is applied"))
         .await
         .expect("routers read it");
     pace(&fleet, 100).await;
@@ -86,14 +86,14 @@
         .await
         .expect("it streams");
     stream.next().await.expect("the first event");
-    let (before, _) = lives(&fleet).await.expect("the log answers");
+    let (before, _) = router_epochs(&fleet).await.expect("the log answers");
 
     list(&fleet, 1).await;
     let noticed = format!(
         "event=shard.retired shard={}",
         shard_of(BUDGET, fleet.shards())
     );
-    // It learns of it by a claim: the rights at hand are good until then.
+    // The router learns of it at its next claim; quota at hand is valid until then.
     let mut more = 2_000;
     let learnt = until("the router to learn of its retirement", async || {
         let mut ask = ChatRequest::new(MODEL, "tokens=1").with_key(&new_key());
@@ -107,14 +107,14 @@
     list(&fleet, 0).await;
     let watched = Instant::now();
     let mut seen = Vec::new();
-    while watched.elapsed() < WATCH {
-        seen.push(lives(&fleet).await.expect("the log answers"));
-        tokio::time::sleep(WATCH / 10).await;
+    while watched.elapsed() < WATCH_TIME {
+        seen.push(router_epochs(&fleet).await.expect("the log answers"));
+        tokio::time::sleep(WATCH_TIME / 10).await;
     }
     let mut other = ChatRequest::new(MODEL, "tokens=2").with_key(&new_key());
     other.max_tokens = 2;
     let refused = caller.ask(fleet.router(0), &other).await;
-    assert!(!stream.received().is_complete, "it still runs");
+    assert!(!stream.received().is_complete, "the stream is complete");
 
     pace(&fleet, 0).await;
     let answer = stream.finish().await;
@@ -129,7 +129,11 @@
     check_all(&fleet, recorder.calls()).await;
 
     for (active, retired) in seen {
-        assert_eq!((active, &retired), (vec![], &before), "it runs there still");
+        assert_eq!(
+            (active, &retired),
+            (vec![], &before),
+            "the router is still retired"
+        );
     }
     assert_eq!(
         refused.slug().as_deref(),
@@ -140,10 +144,11 @@
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
 
     let back = until("the router to be back", async || {
-        let (active, retired) = lives(&fleet).await?;
+        let (active, retired) = router_epochs(&fleet).await?;
         (active.len() == 1 && active > before && retired.is_empty()).then_some(())
     });
-    back.await.expect("it joins once nothing is left");
+    back.await
+        .expect("the router joins once all its quota is released");
     let served = until("an answer", async || {
         let answer = caller.ask(fleet.router(0), &other).await;
         answer.is_served().then_some(())
@@ -155,7 +160,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_on_a_vm_declared_gone_refuses_callers_until_it_is_taken_back() {
+async fn a_router_on_a_vm_declared_gone_refuses_callers_until_that_is_revoked() {
     let fleet = plan().start().await.expect("the fleet starts");
     let caller = fleet.caller(0);
     let ask = || ChatRequest::new(MODEL, "tokens=2").with_key(&new_key());
@@ -163,7 +168,11 @@
     assert!(served.is_served(), "{served:?}");
 
     let gone = change("retirement", VM, json!({ "reason": "burnt" }));
-    let version = fleet.api.apply(vec![gone]).await.expect("an apply");
+    let version = fleet
+        .api
+        .apply(vec![gone])
+        .await
+        .expect("the change is applied");
     fleet
         .wait_for_version(version)
         .await
@@ -182,7 +191,7 @@
     let health = health.expect("an answer");
     assert_eq!(health.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(health.json()["reason"], "declared-gone");
-    let said = until("the router to say so", async || {
+    let said = until("the router to log it", async || {
         let printed = fleet.routers[0].process.printed();
         printed.contains("event=router.declared-gone").then_some(())
     });
@@ -191,7 +200,11 @@
     assert!(other.is_served(), "{other:?}");
 
     let back = json!({ "kind": "retirement", "name": VM, "delete": true });
-    fleet.api.apply(vec![back]).await.expect("an apply");
+    fleet
+        .api
+        .apply(vec![back])
+        .await
+        .expect("the change is applied");
     let again = until("an answer", async || {
         let answer = caller.ask(fleet.router(0), &ask()).await;
         answer.is_served().then_some(())
--- a/tests/testsuite/repeat.rs
+++ b/tests/testsuite/repeat.rs
@@ -1,5 +1,5 @@
-//! One request key sent again: answered again, refused, or told that it ran, and never
-//! run again at no charge.
+//! A request key that is sent again: its answer is repeated, or it is refused or reported
+//! as run; it never runs again without a charge.
 
 use std::time::Duration;
 
@@ -13,10 +13,11 @@
 
 use crate::support::{check_all, expected, new_key, plan, send, sent, tokens};
 
-/// Times that a key is sent.
-const TIMES: usize = 4;
-/// A part of the deadline (120 s) that a silent peer may not take.
-const LONG_BEFORE: Duration = Duration::from_secs(30);
+/// Number of times that a key is sent.
+const SEND_COUNT: usize = 4;
+/// Longest wait for a condition; a silent peer must be given up within it, well below the
+/// deadline (120 s).
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 fn ask(prompt: &str) -> ChatRequest {
     ChatRequest::new(MODEL, prompt).with_key(&new_key())
@@ -30,7 +31,7 @@
     Accounts::fold(&history.streams).budgets["lannec"].charged
 }
 
-/// Sum of the runs of a key at all backend servers.
+/// Sums the runs of a key over all backend servers.
 fn executions(history: &History, key: Option<&str>) -> u64 {
     let runs = history.runs.iter();
     let of_key = runs.filter(|run| key.is_none_or(|key| run.key == key));
@@ -51,7 +52,7 @@
     let streamed = ask("who filled the well? tokens=7").streamed();
     let once = ask("who owns the well? tokens=6").once();
     for ask in [&whole, &streamed, &once] {
-        for _time in 0..TIMES {
+        for _time in 0..SEND_COUNT {
             let answer = send(&fleet, &recorder, 0, 0, ask).await;
             assert!(answer.is_served(), "{answer:?}");
             assert_eq!(answer.text, expected(ask));
@@ -71,7 +72,7 @@
     let fleet = fleet().await;
     let recorder = Recorder::default();
     let ask = ask("the same key everywhere tokens=5");
-    for round in 0..TIMES {
+    for round in 0..SEND_COUNT {
         for router in 0..3 {
             let answer = send(&fleet, &recorder, 0, router, &ask).await;
             assert!(answer.is_served(), "round {round}: {answer:?}");
@@ -97,15 +98,15 @@
         found.and_then(|stream| stream["offset"].as_u64()) > offset
     };
     for ledger in &fleet.ledgers {
-        let status = ledger.status_until(LONG_BEFORE, "the charge", holds);
+        let status = ledger.status_until(MAX_WAIT, "the charge", holds);
         status.await.expect("every ledger folds the charge");
     }
 }
 
-/// A run at another router is told what the first one was charged, since its own charge
-/// is void.
+/// A run at another router reports the charge of the first run, since its own charge is
+/// void.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_told_is_what_was_charged_before() {
+async fn a_repeat_reports_the_first_charge() {
     for streamed in [false, true] {
         let fleet = fleet().await;
         let mut first = ask("a deed at signing tokens=9");
@@ -149,7 +150,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_answer_is_not_kept_is_told_that_it_ran() {
+async fn a_repeat_without_a_kept_answer_is_reported_as_run() {
     let fleet = fleet().await;
     let caller = fleet.caller(0);
     let path = format!("/services/{SERVICE}/tiles/3/9");
@@ -157,7 +158,7 @@
     let call = || caller.service(fleet.router(0), Method::GET, &path, "", Some(&key));
     let answer = call().await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    for _time in 0..TIMES {
+    for _time in 0..SEND_COUNT {
         let answer = call().await;
         assert_refused(&answer, 409, "key-in-use", "ran");
         let detail = answer.json()["detail"].to_string();
@@ -169,7 +170,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_stream_is_told_as_run() {
+async fn a_lost_stream_is_reported_as_run() {
     let mut fleet = plan().engines(1).start().await.expect("the fleet starts");
     let recorder = Recorder::default();
     let ask = ask("kept by nobody tokens=5");
@@ -184,7 +185,7 @@
     assert!(detail.contains(&tokens(&ask).to_string()), "{detail}");
 }
 
-/// Whatever a later request under the key is refused for, the key has run.
+/// No refusal of a later request under a key that ran may report `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_ran_is_never_told_as_not_run() {
     let fleet = fleet().await;
@@ -214,29 +215,32 @@
     assert_eq!(answer.outcome.as_deref(), Some("unknown"), "{answer:?}");
 }
 
-/// A frozen peer that requests were relayed to is given up long before the deadline.
+/// A router gives up a frozen peer that it relays to long before the deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_peer_is_not_waited_for() {
+async fn a_frozen_peer_is_given_up_before_the_deadline() {
     let tenant = Tenant::new("tight", 450);
     let mut fleet = plan().tenants(vec![tenant]).start().await.expect("a fleet");
     let recorder = Recorder::default();
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 20 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 20 }))
+            .await
+            .expect("the pace is set");
     }
-    // Router 1 holds nearly all rights, for a request in flight, and is frozen with them.
+    // Router 1 holds nearly all quota for a request in flight, and is frozen with it.
     let mut large = ask("at length tokens=100").streamed();
     large.max_tokens = 256;
     let begun = recorder.tick();
     let caller = fleet.caller(0);
     let stream = caller.begin(fleet.router(1), &large).await;
-    let mut stream = stream.expect("a stream");
-    stream.next().await.expect("an event");
+    let mut stream = stream.expect("the stream starts");
+    stream.next().await.expect("the stream has another event");
     fleet.routers[1].process.freeze();
     let (idempotent, once) = (
         ask("held there tokens=4"),
         ask("held there tokens=5").once(),
     );
-    let calls = tokio::time::timeout(LONG_BEFORE, async {
+    let calls = tokio::time::timeout(MAX_WAIT, async {
         tokio::join!(
             send(&fleet, &recorder, 0, 0, &idempotent),
             send(&fleet, &recorder, 0, 0, &once),
--- a/tests/testsuite/replace.rs
+++ b/tests/testsuite/replace.rs
@@ -1,4 +1,4 @@
-//! A VM that is replaced with nothing kept, and the rights that its router held.
+//! A VM is replaced with empty storage, and the quota of its router is released.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,14 +17,14 @@
 
 use crate::support::{check_all, plan};
 
-/// Number of the VM that dies.
-const DEAD: usize = 2;
+/// Index of the VM that dies.
+const DEAD_VM: usize = 2;
 /// Name of the budget.
 const BUDGET: &str = "lannec";
-/// How long rights that must stay in quarantine are watched.
-const WATCH: Duration = Duration::from_secs(4);
+/// Time for which quota must stay in quarantine.
+const WATCH_TIME: Duration = Duration::from_secs(4);
 
-/// The budget's stream as a reader of the log folds it.
+/// Folds the budget's stream from the log.
 async fn fold(fleet: &Fleet) -> Option<Fold> {
     let shard = swiftlink_budget::shard_of(BUDGET, fleet.shards());
     let name = swiftlink_budget::stream_of(shard).to_string();
@@ -36,32 +36,32 @@
     Some(fold)
 }
 
-/// Incarnations of the dead VM on the budget's stream.
+/// Router incarnations of the dead VM on the budget's stream.
 #[derive(Debug, PartialEq, Eq)]
-struct Lives {
-    /// Epoch of the one that may spend.
+struct Incarnations {
+    /// Epoch of the incarnation that may spend.
     active: Option<u64>,
-    /// Those whose rights are in quarantine.
+    /// Number of incarnations whose quota is in quarantine.
     retired: usize,
 }
 
-async fn lives(fleet: &Fleet) -> Option<Lives> {
+async fn incarnations(fleet: &Fleet) -> Option<Incarnations> {
     let fold = fold(fleet).await?;
-    let name = format!("vm-{DEAD}");
+    let name = format!("vm-{DEAD_VM}");
     let is_dead = |incarnation: &Incarnation| incarnation.vm.as_str() == name;
     let active = fold.active();
     let active = active.iter().find(|router| is_dead(&router.incarnation));
     let retired = fold.retired();
     let retired = retired.iter().filter(|router| is_dead(&router.incarnation));
-    Some(Lives {
+    Some(Incarnations {
         active: active.map(|router| router.incarnation.epoch),
         retired: retired.count(),
     })
 }
 
-/// Rights that the router holds unspent, and their share of the budget.
+/// Returns the router's unspent quota and its share of the budget.
 async fn held(fleet: &Fleet) -> (u64, f64) {
-    let dump = fleet.routers[DEAD]
+    let dump = fleet.routers[DEAD_VM]
         .dump()
         .await
         .expect("the router answers");
@@ -74,7 +74,7 @@
     (held, held as f64 / prepaid as f64)
 }
 
-async fn busy(traffic: &Traffic) {
+async fn wait_for_answers(traffic: &Traffic) {
     let before = traffic.served();
     let served = until("answers", async || {
         (traffic.served() > before + 60).then_some(())
@@ -82,16 +82,16 @@
     served.await.expect("the fleet serves");
 }
 
-/// SIGKILL of all that runs on the VM.
-async fn die(fleet: &mut Fleet) -> Instant {
+/// Kills all processes of the VM with SIGKILL.
+async fn kill_vm(fleet: &mut Fleet) -> Instant {
     let (held, share) = held(fleet).await;
-    fleet.routers[DEAD].process.kill();
-    fleet.ledgers[DEAD].process.kill();
+    fleet.routers[DEAD_VM].process.kill();
+    fleet.ledgers[DEAD_VM].process.kill();
     let percent = share * 100.0;
     say(&format!(
         "replace: the dead router held {held} tokens, {percent:.2} % of the budget"
     ));
-    assert!(held > 0, "it held something");
+    assert!(held > 0, "the dead router held quota");
     Instant::now()
 }
 
@@ -103,26 +103,36 @@
         ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
-    busy(&traffic).await;
-    let died = die(&mut fleet).await;
-    busy(&traffic).await;
-    let before = lives(&fleet).await.expect("the log answers");
-    assert_eq!(before.retired, 0, "silence proves nothing");
-    fleet.ledgers[DEAD].restart().expect("it starts");
-    fleet.routers[DEAD].restart().expect("it starts");
+    wait_for_answers(&traffic).await;
+    let died = kill_vm(&mut fleet).await;
+    wait_for_answers(&traffic).await;
+    let before = incarnations(&fleet).await.expect("the log answers");
+    assert_eq!(before.retired, 0, "retired without proof of death");
+    fleet.ledgers[DEAD_VM]
+        .restart()
+        .expect("the process starts");
+    fleet.routers[DEAD_VM]
+        .restart()
+        .expect("the process starts");
     let begun = Instant::now();
-    let back = until("the rights to come back", async || {
-        let now = lives(&fleet).await?;
+    let back = until("the quota to be released", async || {
+        let now = incarnations(&fleet).await?;
         (now.retired == 0 && now.active > before.active).then(|| begun.elapsed())
     });
     let back = back.await.expect("the successor proves the death");
     let dead = died.elapsed();
     say(&format!(
-        "replace: rights back {back:?} after the successor's start, {dead:?} after the death"
+        "replace: quota released {back:?} after the successor's start, {dead:?} after the death"
     ));
-    fleet.routers[DEAD].ready().await.expect("it is ready");
-    fleet.ledgers[DEAD].ready().await.expect("it is ready");
-    busy(&traffic).await;
+    fleet.routers[DEAD_VM]
+        .ready()
+        .await
+        .expect("the process is ready");
+    fleet.ledgers[DEAD_VM]
+        .ready()
+        .await
+        .expect("the process is ready");
+    wait_for_answers(&traffic).await;
     traffic.stop().await;
     check_all(&fleet, recorder.calls()).await;
     let budget = fleet.api.budget_until(BUDGET, is_free_of_quarantine).await;
@@ -134,14 +144,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replaced_vm_frees_what_its_predecessor_held() {
-    rounds("a_replaced_vm_frees_what_its_predecessor_held", replaced).await;
+async fn a_replaced_vm_releases_the_quota_of_its_predecessor() {
+    rounds(
+        "a_replaced_vm_releases_the_quota_of_its_predecessor",
+        replaced,
+    )
+    .await;
 }
 
-/// The list without the dead VM.
-async fn unlist(fleet: &Fleet) {
+/// Sets the VM list without the dead VM.
+async fn remove_from_list(fleet: &Fleet) {
     let mut vms = Vec::new();
-    for at in (0..fleet.routers.len()).filter(|at| *at != DEAD) {
+    for at in (0..fleet.routers.len()).filter(|at| *at != DEAD_VM) {
         let domain = format!("domain-{at}");
         vms.push(json!({ "name": format!("vm-{at}"), "domain": domain, "state": "live" }));
     }
@@ -150,8 +164,8 @@
     set.expect("the list is set");
 }
 
-/// A VM that never comes back: its rights stay in quarantine while only a successor
-/// counts as proof, and come back where the VM list counts too.
+/// A VM that never comes back: its quota stays in quarantine while only a successor counts
+/// as proof of death, and is released where the VM list counts as well.
 async fn gone(mut draw: SeededRng) {
     let mut fleet = plan().start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
@@ -160,16 +174,16 @@
         ..TrafficOptions::new()
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
-    busy(&traffic).await;
-    die(&mut fleet).await;
-    unlist(&fleet).await;
+    wait_for_answers(&traffic).await;
+    kill_vm(&mut fleet).await;
+    remove_from_list(&fleet).await;
     let unlisted = Instant::now();
-    let quarantined = Lives {
+    let quarantined = Incarnations {
         active: None,
         retired: 1,
     };
     let retired = until("the router to be retired", async || {
-        (lives(&fleet).await? == quarantined).then_some(())
+        (incarnations(&fleet).await? == quarantined).then_some(())
     });
     retired.await.expect("the list retires it");
     let time = unlisted.elapsed();
@@ -177,20 +191,24 @@
         "replace: retired {time:?} after the VM left the list"
     ));
     let watched = Instant::now();
-    while watched.elapsed() < WATCH {
-        let now = lives(&fleet).await.expect("the log answers");
+    while watched.elapsed() < WATCH_TIME {
+        let now = incarnations(&fleet).await.expect("the log answers");
         assert_eq!(now, quarantined, "no proof of its death");
-        tokio::time::sleep(WATCH / 10).await;
+        tokio::time::sleep(WATCH_TIME / 10).await;
     }
     let listed = change("budget", BUDGET, json!({ "release": "listed" }));
-    fleet.api.apply(vec![listed]).await.expect("an apply");
+    fleet
+        .api
+        .apply(vec![listed])
+        .await
+        .expect("the change is applied");
     let allowed = Instant::now();
-    let back = until("the rights to come back", async || {
-        (lives(&fleet).await?.retired == 0).then(|| allowed.elapsed())
+    let back = until("the quota to be released", async || {
+        (incarnations(&fleet).await?.retired == 0).then(|| allowed.elapsed())
     });
     let back = back.await.expect("the list is proof enough now");
     say(&format!(
-        "replace: rights back {back:?} after the list was allowed as proof"
+        "replace: quota released {back:?} after the list was allowed as proof"
     ));
     traffic.stop().await;
     check_all(&fleet, recorder.calls()).await;
@@ -199,9 +217,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_never_comes_back_frees_only_what_may_be_freed() {
+async fn quota_of_a_lost_vm_is_released_only_on_accepted_proof() {
     rounds(
-        "a_vm_that_never_comes_back_frees_only_what_may_be_freed",
+        "quota_of_a_lost_vm_is_released_only_on_accepted_proof",
         gone,
     )
     .await;
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -1,5 +1,5 @@
-//! Settings files and the start of the daemons: wrong keys and values, and a log
-//! that can't be reached.
+//! Settings files and the start of the daemons: invalid keys and values, and an
+//! unreachable log.
 
 use std::path::Path;
 use std::process::Command;
@@ -13,10 +13,10 @@
 use crate::support::binaries;
 
 const DAEMONS: [&str; 3] = ["swiftlink-router", "swiftlink-ledger", "swiftlink-operator"];
-/// Exit status for settings that can't be used.
+/// Exit status for invalid settings.
 const USAGE: i32 = 2;
 
-/// Settings that all daemons take, in lines 1 to 8.
+/// Settings that all daemons accept, in lines 1 to 8.
 fn settings(daemon: &str) -> String {
     let mut text = String::from(
         "vm = \"vm-0\"\n\
@@ -36,7 +36,7 @@
     text
 }
 
-/// Exit status and standard error of a daemon that checks a settings file.
+/// Returns the exit status and standard error of a daemon that checks a settings file.
 fn run_check(daemon: &str, file: &Path) -> (Option<i32>, String) {
     let output = Command::new(binaries().join(daemon))
         .arg("--check")
@@ -50,7 +50,7 @@
 
 #[test]
 fn good_settings_pass_the_check() {
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("a temporary directory");
     for daemon in DAEMONS {
         let file = dir.path().join(format!("{daemon}.toml"));
         std::fs::write(&file, settings(daemon)).expect("the file can be written");
@@ -61,8 +61,8 @@
 
 #[test]
 fn wrong_keys_and_values_name_file_line_and_key() {
-    let dir = tempfile::tempdir().expect("a directory");
-    // What to replace, by what, and the line and key that the error must name.
+    let dir = tempfile::tempdir().expect("a temporary directory");
+    // The replaced text, its replacement, and the line and key that the error must name.
     let cases = [
         ("log_level", "log_levle", "6", "log_levle"),
         ("\"127.0.0.1:11102\"", "\"localhost\"", "4", "listen"),
@@ -105,15 +105,15 @@
     }
 }
 
-/// Lines of the daemon's log that speak of the unreachable log.
+/// Counts the lines of the daemon's output about the unreachable log.
 fn outage_lines(printed: &str) -> usize {
     let lines = printed.lines();
     lines.filter(|line| line.contains("event=log.out")).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unreachable_log_is_said_once_and_retried() {
-    let dir = tempfile::tempdir().expect("a directory");
+async fn an_unreachable_log_is_reported_once_and_retried() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let dirs = Dirs {
         binaries: binaries(),
         work: dir.path().to_owned(),
@@ -130,13 +130,13 @@
     let args = ["--settings".to_owned(), file.display().to_string()];
     let binary = dirs.binary("swiftlink-ledger");
     let output = dirs.file("ledger.out");
-    let mut ledger = Process::spawn("ledger", &binary, &args, &output).expect("it starts");
+    let mut ledger = Process::spawn("ledger", &binary, &args, &output).expect("the process starts");
     until("the outage to be logged", async || {
         (outage_lines(&ledger.printed()) > 0).then_some(())
     })
     .await
     .expect("the outage is logged");
-    // The log comes up at its address, and the ledger finds it by itself.
+    // Once the log listens at its address, the ledger connects without a restart.
     let standin = Standin::start_at(&dirs, "log", "log", log, &[])
         .await
         .expect("the log starts");
--- a/tests/testsuite/spend.rs
+++ b/tests/testsuite/spend.rs
@@ -1,5 +1,5 @@
-//! No workspace spends beyond what it prepaid: the log's fold and the engines'
-//! tokens are both held against the top-ups.
+//! No workspace spends more than it prepaid: both the log's fold and the engines' tokens
+//! are compared with the top-ups.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,17 +15,19 @@
 use swiftlink_testkit::rounds::{SeededRng, rounds, say};
 use swiftlink_testkit::until::until;
 
-use crate::hammer::{ANSWER, Hammer, Style, Told, bound, counts, ran};
+use crate::hammer::{
+    ANSWER, AnswerRecord, LoadGenerator, LoadOptions, counts, max_cost, tokens_run,
+};
 use crate::support::{check_all, new_key, plan, send};
 
-/// What was paid into each budget (tokens).
+/// Top-ups of each budget (tokens).
 type Paid = BTreeMap<String, u64>;
 
-/// Most time for one step of a fault schedule (ms).
-const STEP_MS: u64 = 120;
+/// Maximum time of one step of a fault schedule (ms).
+const MAX_STEP_MS: u64 = 120;
 
-/// Eight VMs in four failure domains, as today.
-fn eight(tenants: Vec<Tenant>) -> Plan {
+/// Eight VMs in four failure domains, the current deployment size.
+fn eight_vms(tenants: Vec<Tenant>) -> Plan {
     plan().vms(8, 4).tenants(tenants)
 }
 
@@ -37,19 +39,19 @@
 }
 
 async fn step(draw: &mut SeededRng) {
-    tokio::time::sleep(Duration::from_millis(draw.below(STEP_MS))).await;
+    tokio::time::sleep(Duration::from_millis(draw.below(MAX_STEP_MS))).await;
 }
 
-fn served(told: &[Told], chosen: impl Fn(&Told) -> bool) -> usize {
-    let chosen = |told: &&Told| told.what == "served" && chosen(told);
+fn served(told: &[AnswerRecord], chosen: impl Fn(&AnswerRecord) -> bool) -> usize {
+    let chosen = |told: &&AnswerRecord| told.result == "served" && chosen(told);
     told.iter().filter(chosen).count()
 }
 
-/// Checks the history, and that not even unbilled runs exceed what was paid in.
+/// Checks the history, and that all runs, unbilled ones included, stay within the top-ups.
 async fn check_spend(fleet: &Fleet, recorder: &Recorder, paid: &Paid) -> History {
     let history = check_all(fleet, recorder.calls()).await;
     let accounts = Accounts::fold(&history.streams);
-    for (budget, tokens) in ran(&history) {
+    for (budget, tokens) in tokens_run(&history) {
         let balance = accounts.budgets[&budget];
         say(&format!(
             "  {budget}: topped up {}, charged {}, run for distinct keys {tokens}",
@@ -61,15 +63,15 @@
     history
 }
 
-/// Whether a process is on the far side of the partition. Both sides hold two
-/// failure domains; the platform and the operator are on the near side.
+/// Returns whether a process is on the far side of the partition. Each side has two failure
+/// domains; the platform and the operator are on the near side.
 fn is_far(name: &str) -> bool {
     let number = name.rsplit_once('-').and_then(|(_, no)| no.parse().ok());
     let daemon = name.starts_with("router-") || name.starts_with("ledger-");
     daemon && number.is_some_and(|number: usize| number % 4 >= 2)
 }
 
-fn is_apart(from: &str, to: &str) -> bool {
+fn is_partitioned(from: &str, to: &str) -> bool {
     let routers = from.starts_with("router-") && to.starts_with("router-");
     let servers = from == "routers";
     !servers && (routers || is_far(from) != is_far(to))
@@ -84,30 +86,36 @@
     let names = ["lannec", "vannes", "deusto"];
     let tenants = names.map(|name| Tenant::new(name, 6_000)).to_vec();
     let mut paid = prepaid_of(&tenants);
-    let fleet = eight(tenants).relayed().start().await;
+    let fleet = eight_vms(tenants).relayed().start().await;
     let fleet = fleet.expect("the fleet starts");
     for name in &names[1..] {
         let spec = json!({ "budget": name, "stale": "serve" });
         let changes = vec![change("workspace", name, spec)];
-        let version = fleet.api.apply(changes).await.expect("a change");
+        let version = fleet
+            .api
+            .apply(changes)
+            .await
+            .expect("the change is accepted");
         fleet
             .wait_for_version(version)
             .await
-            .expect("it is in force");
+            .expect("the version is in force");
     }
     let recorder = Arc::new(Recorder::default());
-    let style = Style {
+    let options = LoadOptions {
         callers: 16,
         tries: 2,
     };
-    let hammer = Hammer::spawn(&fleet, &recorder, &mut draw, names.len(), style);
-    hammer
-        .until("answers of all routers", |told| {
-            (0..8).all(|router| served(told, |told| told.router == router) > 0)
-        })
-        .await;
-    let before = hammer.told().len();
-    assert!(fleet.net.cut_where(is_apart) > 0, "there are links to cut");
+    let load = LoadGenerator::spawn(&fleet, &recorder, &mut draw, names.len(), options);
+    load.until("answers of all routers", |told| {
+        (0..8).all(|router| served(told, |told| told.router == router) > 0)
+    })
+    .await;
+    let before = load.answers().len();
+    assert!(
+        fleet.net.cut_where(is_partitioned) > 0,
+        "there are links to cut"
+    );
     for number in 0..6 {
         step(&mut draw).await;
         let name = names[draw.index(names.len())];
@@ -117,24 +125,22 @@
         topped_up.expect("the near side takes top-ups");
         *paid.entry(name.to_owned()).or_default() += amount;
     }
-    hammer
-        .until("answers and refusals on both sides", |told| {
-            let near = told.iter().filter(|told| told.router % 4 < 2).count();
-            near >= 150 && told.len() - near >= 150
-        })
-        .await;
-    let told = hammer.told();
+    load.until("answers and refusals on both sides", |told| {
+        let near = told.iter().filter(|told| told.router % 4 < 2).count();
+        near >= 150 && told.len() - near >= 150
+    })
+    .await;
+    let told = load.answers();
     let far = served(&told[before..], |told| told.router % 4 >= 2);
     fleet.net.heal();
-    hammer
-        .until("answers after it", |told| told.len() >= 100)
+    load.until("answers after the partition", |told| told.len() >= 100)
         .await;
-    let told = hammer.stop().await;
+    let told = load.stop().await;
     say(&format!(
         "  {:?}; {far} served on the far side",
         counts(&told)
     ));
-    assert!(far > 0, "the far side spends what it holds");
+    assert!(far > 0, "the far side spends its quota");
     check_spend(&fleet, &recorder, &paid).await;
 }
 
@@ -151,13 +157,13 @@
     let fleet = fleet.expect("the fleet starts");
     let share = 0.3 + draw.below(50) as f64 / 100.0;
     let fault = json!({ "lose_answers": share });
-    fleet.log.set(fault).await.expect("a switch");
+    fleet.log.set(fault).await.expect("the switch is set");
     let recorder = Arc::new(Recorder::default());
-    let style = Style {
+    let options = LoadOptions {
         callers: 12,
         tries: 2,
     };
-    let hammer = Hammer::spawn(&fleet, &recorder, &mut draw, names.len(), style);
+    let load = LoadGenerator::spawn(&fleet, &recorder, &mut draw, names.len(), options);
     for number in 0..4 {
         step(&mut draw).await;
         let name = names[draw.index(names.len())];
@@ -166,18 +172,17 @@
         topped_up.expect("a top-up in the end");
         *paid.entry(name.to_owned()).or_default() += 300;
     }
-    hammer
-        .until("budgets near their end", |told| {
-            let refused = told.len() - served(told, |_told| true);
-            refused >= 60 && told.len() >= 200
-        })
-        .await;
-    let told = hammer.stop().await;
+    load.until("budgets nearly used up", |told| {
+        let refused = told.len() - served(told, |_told| true);
+        refused >= 60 && told.len() >= 200
+    })
+    .await;
+    let told = load.stop().await;
     fleet
         .log
         .set(json!({ "lose_answers": 0.0 }))
         .await
-        .expect("a switch");
+        .expect("the switch is set");
     say(&format!("  {share:.2} lost; {:?}", counts(&told)));
     check_spend(&fleet, &recorder, &paid).await;
 }
@@ -191,24 +196,25 @@
     let prepaid = 2_500 + draw.below(1_000);
     let tenants = vec![Tenant::new("lannec", prepaid)];
     let paid = prepaid_of(&tenants);
-    let fleet = eight(tenants).start().await;
+    let fleet = eight_vms(tenants).start().await;
     let fleet = fleet.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
-    let style = Style {
+    let options = LoadOptions {
         callers: 16,
         tries: 1,
     };
-    let hammer = Hammer::spawn(&fleet, &recorder, &mut draw, 1, style);
-    hammer
-        .until("the budget to look used up", |told| {
-            let last = told.len().saturating_sub(40);
-            told.len() > 80 && served(&told[last..], |_told| true) == 0
-        })
-        .await;
-    let told = hammer.stop().await;
+    let load = LoadGenerator::spawn(&fleet, &recorder, &mut draw, 1, options);
+    load.until("the budget to look used up", |told| {
+        let last = told.len().saturating_sub(40);
+        told.len() > 80 && served(&told[last..], |_told| true) == 0
+    })
+    .await;
+    let told = load.stop().await;
     let calls = recorder.calls();
     let refused = told.iter().filter(|told| is_refused(told)).count();
-    let false_ones = told.iter().filter(|told| is_false(told, &calls, prepaid));
+    let false_ones = told
+        .iter()
+        .filter(|told| is_false_refusal(told, &calls, prepaid));
     say(&format!(
         "  {:?}; false refusals {} of {refused}",
         counts(&told),
@@ -217,17 +223,21 @@
     use_up(&fleet, &recorder, prepaid).await;
     let history = check_spend(&fleet, &recorder, &paid).await;
     let charged = Accounts::fold(&history.streams).budgets["lannec"].charged;
-    assert_eq!(charged, told_charges(&recorder.calls()), "told and charged");
+    assert_eq!(
+        charged,
+        total_charges(&recorder.calls()),
+        "reported and charged tokens differ"
+    );
     let budget = fleet
         .api
-        .budget_until("lannec", |budget| sum(budget) == prepaid);
+        .budget_until("lannec", |budget| total(budget) == prepaid);
     let budget = budget
         .await
         .expect("what is charged and what remains add up");
     assert_eq!(budget["charged"], charged);
 }
 
-fn sum(budget: &Value) -> u64 {
+fn total(budget: &Value) -> u64 {
     let parts = ["charged", "granted", "quarantined", "free"];
     parts
         .map(|part| budget[part].as_u64().unwrap_or(0))
@@ -235,7 +245,7 @@
         .sum()
 }
 
-fn told_charges(calls: &[Call]) -> u64 {
+fn total_charges(calls: &[Call]) -> u64 {
     calls.iter().map(charge_of).sum()
 }
 
@@ -246,13 +256,13 @@
     }
 }
 
-fn is_refused(told: &Told) -> bool {
-    ["no-budget", "budget-busy"].contains(&told.what.as_str())
+fn is_refused(told: &AnswerRecord) -> bool {
+    ["no-budget", "budget-busy"].contains(&told.result.as_str())
 }
 
-/// A refusal is false when enough was left, counted against the router: a call
-/// that had ended took its charge, one in flight its bound.
-fn is_false(told: &Told, calls: &[Call], prepaid: u64) -> bool {
+/// Returns whether a refusal is false, that is, whether enough budget was left by a count
+/// against the router: each ended call took its charge, each call in flight its maximum.
+fn is_false_refusal(told: &AnswerRecord, calls: &[Call], prepaid: u64) -> bool {
     let Some(refused) = calls.iter().find(|call| call.began == told.began) else {
         return false;
     };
@@ -263,32 +273,32 @@
         }
         let in_flight = call.ended > refused.began;
         taken += if in_flight {
-            told.bound
+            told.max_cost
         } else {
             charge_of(call)
         };
     }
-    is_refused(told) && taken + told.bound <= prepaid
+    is_refused(told) && taken + told.max_cost <= prepaid
 }
 
-/// Spends what is left, one caller at a time, until no request fits.
+/// Spends the remaining budget with one caller at a time until no request fits.
 async fn use_up(fleet: &Fleet, recorder: &Recorder, prepaid: u64) {
     loop {
         let mut ask = ChatRequest::new(MODEL, "rest tokens=24").with_key(&new_key());
         ask.max_tokens = ANSWER;
-        let left = prepaid.checked_sub(told_charges(&recorder.calls()));
+        let left = prepaid.checked_sub(total_charges(&recorder.calls()));
         let left = left.expect("never more is charged than was prepaid");
-        if left < bound(&ask) {
+        if left < max_cost(&ask) {
             return say(&format!("  left at the end: {left} of {prepaid}"));
         }
         let mut router = 0;
-        let answer = until("what is left to be spent", async || {
+        let answer = until("the remaining budget to be spent", async || {
             ask.key = Some(new_key());
             router = (router + 1) % fleet.routers.len();
             let answer = send(fleet, recorder, 0, router, &ask).await;
             answer.is_served().then_some(())
         });
-        answer.await.expect("rights held in vain come back");
+        answer.await.expect("unused quota is returned");
     }
 }
 
@@ -304,56 +314,61 @@
         .tenants(vec![Tenant::new("lannec", prepaid)]);
     let mut fleet = fleet.start().await.expect("the fleet starts");
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 2 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 2 }))
+            .await
+            .expect("the pace is set");
     }
     let recorder = Arc::new(Recorder::default());
-    let style = Style {
+    let options = LoadOptions {
         callers: 12,
         tries: 8,
     };
-    let hammer = Hammer::spawn(&fleet, &recorder, &mut draw, 1, style);
+    let load = LoadGenerator::spawn(&fleet, &recorder, &mut draw, 1, options);
     let mut back_after = Vec::new();
     for _kill in 0..3 {
-        hammer
-            .until("some answers", |told| served(told, |_told| true) >= 20)
+        load.until("some answers", |told| served(told, |_told| true) >= 20)
             .await;
         step(&mut draw).await;
         let router = draw.index(fleet.routers.len());
         let start = Instant::now();
         fleet.routers[router].process.kill();
         step(&mut draw).await;
-        fleet.routers[router].restart().expect("it starts");
-        fleet.routers[router].ready().await.expect("it is ready");
+        fleet.routers[router].restart().expect("the process starts");
+        fleet.routers[router]
+            .ready()
+            .await
+            .expect("the process is ready");
         let none = |budget: &Value| budget["quarantined"].as_u64() == Some(0);
         let back = fleet.api.budget_until("lannec", none).await;
-        back.expect("the rights come back");
+        back.expect("the quota is released");
         back_after.push(start.elapsed());
     }
-    let told = hammer.stop().await;
+    let told = load.stop().await;
     let history = check_all(&fleet, recorder.calls()).await;
     let accounts = Accounts::fold(&history.streams);
-    let ran: BTreeMap<_, _> = ran(&history);
+    let ran: BTreeMap<_, _> = tokens_run(&history);
     let (ran, balance) = (ran["lannec"], accounts.budgets["lannec"]);
     say(&format!(
         "  {:?}; run for distinct keys {ran}, charged {}",
         counts(&told),
         balance.charged
     ));
-    let stranded = stranded(&history, "lannec");
-    let share = 100.0 * stranded.iter().sum::<u64>() as f64 / prepaid as f64;
+    let quarantined = quarantined_amounts(&history, "lannec");
+    let share = 100.0 * quarantined.iter().sum::<u64>() as f64 / prepaid as f64;
     say(&format!(
-        "  stranded {stranded:?} of {prepaid} ({share:.1} % in all), \
+        "  quarantined {quarantined:?} of {prepaid} ({share:.1} % in all), \
          back {back_after:?} after the kills"
     ));
-    assert!(!stranded.is_empty(), "a killed router held rights");
+    assert!(!quarantined.is_empty(), "a killed router held quota");
     assert!(ran <= balance.topped_up, "engines ran {ran}");
-    let sound = |budget: &Value| sum(budget) == prepaid;
+    let sound = |budget: &Value| total(budget) == prepaid;
     let budget = fleet.api.budget_until("lannec", sound).await;
     budget.expect("what is charged and what remains add up");
 }
 
-/// Each amount that stood in quarantine, by the log's records in order.
-fn stranded(history: &History, budget: &str) -> Vec<u64> {
+/// Returns each amount that entered quarantine, in the order of the log's records.
+fn quarantined_amounts(history: &History, budget: &str) -> Vec<u64> {
     let mut amounts = Vec::new();
     for stream in &history.streams {
         let mut fold = Fold::empty();
--- a/tests/testsuite/stopping.rs
+++ b/tests/testsuite/stopping.rs
@@ -1,5 +1,5 @@
-//! A planned stop under load: no answer is cut, nothing is accepted after it, unused
-//! rights come back, and the process ends with 0 within its limit.
+//! A planned stop under load: no answer is cut off, no request is accepted after it, unused
+//! quota is returned, and the process exits with 0 within its limit.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,15 +15,15 @@
 
 use crate::support::{check_all, plan};
 
-/// Limit that the settings set for a stop (ms).
+/// Stop limit of the settings (ms).
 const STOP_MS: u64 = 10_000;
-/// Time that the slow log takes for an append (ms).
+/// Duration of an append to the slow log (ms).
 const SLOW_MS: u64 = 300;
-/// Time beyond it for the return of rights and the end of the process, which have
-/// limits of their own.
+/// Time above the stop limit for the return of quota and the exit, which have limits of
+/// their own.
 const MARGIN: Duration = Duration::from_secs(10);
 
-/// SIGTERM; the process must end well within its limit.
+/// Sends SIGTERM and checks that the process exits within its limit.
 async fn stop(daemon: &mut Daemon) {
     let begun = Instant::now();
     let limit = Duration::from_millis(STOP_MS) + MARGIN;
@@ -34,8 +34,8 @@
     say(&format!("stopping: {} ended in {took:?}", daemon.name()));
 }
 
-/// No caller lost an answer that had begun, and what was not answered at all did not run.
-fn check_whole(told: &[AttemptRecord], history: &History) {
+/// Checks that no caller lost a started answer, and that unanswered requests did not run.
+fn check_complete(told: &[AttemptRecord], history: &History) {
     let ran: BTreeSet<&str> = history.runs.iter().map(|run| run.key.as_str()).collect();
     for AttemptRecord { key, answer, .. } in told {
         let has_head = answer.status != 0;
@@ -51,7 +51,7 @@
     }
 }
 
-async fn busy(daemon: &Daemon) {
+async fn wait_for_callers(daemon: &Daemon) {
     let busy = until("requests in flight", async || {
         let status = daemon.status().await?;
         (status["in_flight"].as_u64() > Some(1)).then_some(())
@@ -64,10 +64,16 @@
     let mut fleet = plan.start().await.expect("the fleet starts");
     let recorder = Arc::new(Recorder::default());
     for engine in &fleet.engines {
-        engine.set(json!({ "pace_ms": 15 })).await.expect("a pace");
+        engine
+            .set(json!({ "pace_ms": 15 }))
+            .await
+            .expect("the pace is set");
     }
     for service in &fleet.services {
-        service.set(json!({ "run_ms": 80 })).await.expect("a time");
+        service
+            .set(json!({ "run_ms": 80 }))
+            .await
+            .expect("the run time is set");
     }
     let mix = TrafficOptions {
         callers: 16,
@@ -76,7 +82,7 @@
     };
     let traffic = Traffic::start(&fleet, &recorder, &mut draw, &mix);
     for at in 0..fleet.routers.len() {
-        busy(&fleet.routers[at]).await;
+        wait_for_callers(&fleet.routers[at]).await;
         stop(&mut fleet.routers[at]).await;
         let ended = traffic.attempts().len();
         let late = until("tries after the stop", async || {
@@ -86,18 +92,18 @@
     }
     let told = traffic.stop().await;
     let history = check_all(&fleet, recorder.calls()).await;
-    check_whole(&told, &history);
-    // Every router has ended, so whatever was not spent is free again.
+    check_complete(&told, &history);
+    // Every router has exited, so all unspent quota is free again.
     let all_back = |budget: &Value| {
         let field = |name: &str| budget[name].as_u64().unwrap_or(0);
         field("free") + field("charged") == field("topped_up") && field("charged") > 0
     };
     let budget = fleet.api.budget_until("lannec", all_back).await;
-    budget.expect("unused rights come back");
+    budget.expect("unused quota is returned");
 }
 
-/// Ledgers and the operator stop too, one after the other, under load; then all
-/// routers die, so that the ledgers alone hold the charges of what was just answered.
+/// Stops each ledger and the operator in turn under load; then kills all routers, so that
+/// only the ledgers have the charges of the latest answers.
 async fn ledgers_stop(mut draw: SeededRng) {
     let plan = plan().ledger(json!({ "stop_ms": STOP_MS }));
     let mut fleet = plan.start().await.expect("the fleet starts");
@@ -111,18 +117,24 @@
         });
         on.await.expect("the fleet serves");
         stop(&mut fleet.ledgers[at]).await;
-        fleet.ledgers[at].restart().expect("it starts again");
-        fleet.ledgers[at].ready().await.expect("it is ready again");
+        fleet.ledgers[at].restart().expect("the process restarts");
+        fleet.ledgers[at]
+            .ready()
+            .await
+            .expect("the process is ready again");
     }
     stop(&mut fleet.operator).await;
     let told = traffic.attempts();
-    check_whole(
+    check_complete(
         &told,
-        &fleet.history(recorder.calls()).await.expect("a history"),
+        &fleet
+            .history(recorder.calls())
+            .await
+            .expect("the history is read"),
     );
-    // With a slow log there are always charges that it does not have yet.
+    // With a slow log there are always charges that are not on it yet.
     let slow = fleet.log.set(json!({ "delay_ms": SLOW_MS }));
-    slow.await.expect("a switch");
+    slow.await.expect("the switch is set");
     let before = traffic.served();
     let on = until("answers", async || {
         (traffic.served() > before + 40).then_some(())
@@ -139,8 +151,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_under_load_cuts_nothing() {
-    rounds("a_planned_stop_under_load_cuts_nothing", routers_stop).await;
+async fn a_planned_stop_under_load_cuts_no_answer_off() {
+    rounds("a_planned_stop_under_load_cuts_no_answer_off", routers_stop).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! What the topics share: the binaries under test, and recorded calls.
+//! Helpers of all test modules: the binaries under test, and recorded calls.
 
 use std::path::PathBuf;
 
@@ -14,7 +14,7 @@
     dir_of(env!("CARGO_BIN_EXE_swiftlink-router"))
 }
 
-/// A fleet of the usual size.
+/// A fleet of the default size.
 pub fn plan() -> Plan {
     Plan::new(binaries())
 }
@@ -24,17 +24,17 @@
     RequestKey::generate(wall_ms()).to_string()
 }
 
-/// The text that a whole answer to `ask` must have.
+/// Returns the text of the complete answer to `ask`.
 pub fn expected(ask: &ChatRequest) -> String {
     engine::answer(&ask.prompt, ask.max_tokens)
 }
 
-/// The tokens that a whole answer to `ask` runs.
+/// Returns the tokens of the complete run of `ask`.
 pub fn tokens(ask: &ChatRequest) -> u64 {
     engine::prompt_tokens(&ask.prompt) + engine::answer_length(&ask.prompt, ask.max_tokens)
 }
 
-/// Sends `ask` as tenant number `tenant` through router number `router`, and records it.
+/// Sends `ask` as tenant `tenant` through router `router` and records the call.
 pub async fn send(
     fleet: &Fleet,
     recorder: &Recorder,
@@ -49,7 +49,7 @@
         .await
 }
 
-/// What is known of `ask` before it is sent.
+/// Returns what the recorder needs to know about `ask` before it is sent.
 pub fn sent(fleet: &Fleet, tenant: usize, ask: &ChatRequest) -> RequestInfo {
     let name = &fleet.tenant(tenant).name;
     RequestInfo {
@@ -69,8 +69,8 @@
     }
 }
 
-/// Waits until every call that was answered whole has its charge on the log, then
-/// checks the history; gives it back for further checks.
+/// Waits until every call with a complete answer has its charge on the log, then checks
+/// the history and returns it.
 pub async fn check_all(fleet: &Fleet, calls: Vec<Call>) -> History {
     let settled = |history: &History| {
         let accounts = swiftlink_testkit::checker::Accounts::fold(&history.streams);
