--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -20,7 +20,7 @@
 pub struct Reading {
     /// Boot id of the kernel; empty when it isn't known.
     pub boot: Arc<str>,
-    /// Steady time in milliseconds; comparable within one boot of the kernel.
+    /// Monotonic time in milliseconds; comparable within one boot of the kernel.
     pub steady: u64,
     /// Wall-clock time in milliseconds since the Unix epoch; it may jump.
     pub wall: u64,
@@ -28,7 +28,7 @@
 
 /// A source of time.
 pub trait Clock: fmt::Debug + Send + Sync {
-    /// Steady time in milliseconds. It is the same for all processes of the VM, and advances
+    /// Monotonic time in milliseconds. It is the same for all processes of the VM, and advances
     /// while no process runs and while the VM is suspended.
     fn steady(&self) -> u64;
 
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct SystemClock {
     boot: Arc<str>,
-    /// Smallest difference seen between the wall clock and the steady clock, in milliseconds.
+    /// Smallest difference seen between the wall clock and the monotonic clock, in milliseconds.
     min_ahead: AtomicI64,
 }
 
--- a/crates/gateway/src/eligibility.rs
+++ b/crates/gateway/src/eligibility.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct Announcement {
     is_draining: AtomicBool,
-    /// End of the backoff that it asked for, in milliseconds of the VM's steady clock.
+    /// End of the backoff that it asked for, in milliseconds of the VM's monotonic clock.
     backoff_until: AtomicU64,
 }
 
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 struct Entry {
     announcement: Arc<Announcement>,
-    /// When the server was listed last, in milliseconds of the VM's steady clock.
+    /// When the server was listed last, in milliseconds of the VM's monotonic clock.
     listed: u64,
 }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use swiftlink_rollout::Assignment;
+use swiftlink_rollout::{Assignment, StatsKey};
 use swiftlink_routing::{
     Fleet, FleetPolicy, LoadReport, PickArgs, PrefillIsolation, Prompt, RetryBudget, ServerIdx,
     ServerSpec, ServerUpdate,
@@ -27,7 +27,7 @@
 use crate::domains::Domains;
 use crate::eligibility::{Announcements, Eligibility};
 use crate::model::PoolSpec;
-use crate::rollout::{PoolRollout, ResponseKey};
+use crate::rollout::PoolRollout;
 use crate::settings::RouterSettings;
 
 pub use pools::Pools;
@@ -234,7 +234,7 @@
         &self,
         route: Option<&Arc<str>>,
         info: Option<&ServerInfo>,
-    ) -> Option<ResponseKey> {
+    ) -> Option<StatsKey> {
         self.rollout.response_key(route?, &info?.version)
     }
 
--- a/crates/gateway/src/fleet/ticket.rs
+++ b/crates/gateway/src/fleet/ticket.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use swiftlink_rollout::StatsKey;
 use swiftlink_routing::{Dispatch, ErrorKind, ServerIdx, StreamGaps};
 use swiftlink_types::Micros;
 
 use super::Pool;
-use crate::rollout::ResponseKey;
 
 /// A request that was sent to a server. If dropped, its outcome doesn't count for or against the
 /// server.
@@ -18,7 +18,7 @@
     /// Server of the request.
     pub idx: ServerIdx,
     /// Key under which the response is counted during a rollout.
-    pub(super) response_key: Option<ResponseKey>,
+    pub(super) response_key: Option<StatsKey>,
     pub(super) has_response: bool,
 }
 
@@ -83,7 +83,7 @@
 
     fn count_response(&self, has_failed: bool) {
         if let Some(response_key) = &self.response_key {
-            self.pool.rollout.on_completed(response_key, has_failed);
+            self.pool.rollout.on_finished(response_key, has_failed);
         }
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -25,7 +25,7 @@
 
 /// Upper bounds of the latency buckets in seconds: from a call within a zone to the longest
 /// deadline in the users' requirements.
-const LATENCY_BUCKETS: [f64; 14] = [
+const LATENCY_BOUNDS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 6.0, 10.0, 15.0,
 ];
 const OPENMETRICS: HeaderValue =
@@ -99,7 +99,7 @@
 }
 
 fn histogram() -> Histogram {
-    Histogram::new(LATENCY_BUCKETS)
+    Histogram::new(LATENCY_BOUNDS)
 }
 
 impl Metrics {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -41,7 +41,7 @@
     pub quarantine: Arc<Quarantine>,
     /// Reports of other routers on rollouts that this one may coordinate.
     pub reports: Reports,
-    /// Last known steady clocks of other processes.
+    /// Latest readings of the monotonic clocks of other processes.
     pub peer_clocks: Arc<PeerClocks>,
     /// Random identifier that distinguishes this process from others on its VM.
     pub process: u64,
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -11,7 +11,8 @@
     /// No byte of the request left: no connection could be made, or it was closed before.
     NotSent,
     /// No byte of the request left: after the server was chosen, operators drained its failure
-    /// domain, or the server announced that it is draining or asked for backoff.
+    /// domain, its version stopped getting requests, or the server announced that it is draining or
+    /// asked for backoff.
     Withheld,
     /// The server refused, and says that it did not run the request.
     Shed,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Name in logs and metrics.
+    /// Name in logs and metrics; some are older terms that operators' tools match.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/gateway/src/peer_clocks.rs
+++ b/crates/gateway/src/peer_clocks.rs
@@ -1,16 +1,17 @@
 //! Readings of the monotonic clocks of other router processes.
 //!
 //! A VM that lost power can't tell from its own clock how long it was down, since its time of day
-//! may jump. Its peers' monotonic clocks kept running. A process that replies to a note includes
-//! the reading of its own clock, taken after it was asked. So the time since that reading is at
-//! most the time since the request, by the clock of the router that asked.
+//! may jump. Its peers' monotonic clocks kept running. A process that replies to a server update or
+//! to a call about a reservation includes the reading of its own clock, taken after it was asked.
+//! So the time since that reading is at most the time since the request, by the clock of the router
+//! that asked.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Maximum number of processes remembered; the earliest reading is evicted. Covers the largest fleet
-/// that exchanges notes between all routers, and a few restarts of each.
+/// Maximum number of processes remembered; the earliest reading is evicted. Covers the largest
+/// fleet whose routers all exchange server updates, and a few restarts of each.
 const MAX_PROCESSES: usize = 128;
 
 /// Latest clock readings of other processes.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -138,7 +138,7 @@
 
     /// Whether the members of a partition are complete. In a fleet that starts for the first time,
     /// other routers may register a moment later than this one.
-    fn is_fetched(&self, partition: &u32) -> bool {
+    fn is_complete(&self, partition: &u32) -> bool {
         let Some(at) = lock(&self.fetched_at).get(partition).copied() else {
             return false;
         };
@@ -146,7 +146,8 @@
         if !self.is_first_start {
             return true;
         }
-        // After twice that time, the routers that sent the data have settled too.
+        // After twice [`SETTLE_TIME`], the routers that sent the data have known the members for
+        // that long too.
         registered.is_some_and(|registered| {
             at >= *registered + SETTLE_TIME || registered.elapsed() >= SETTLE_TIME * 2
         })
@@ -320,7 +321,7 @@
     }
 }
 
-/// The process that replied and the reading of its steady clock, if the reply has one.
+/// The process that replied and the reading of its monotonic clock, if the reply has one.
 fn reported_clock(reply: &reply::Kind) -> Option<(u64, u64)> {
     match reply {
         reply::Kind::Noted(noted) => Some((noted.process, noted.steady_ms)),
@@ -396,7 +397,7 @@
     fn has_all_members(&self) -> bool {
         self.partitions
             .iter()
-            .all(|partition| self.is_fetched(partition))
+            .all(|partition| self.is_complete(partition))
     }
 
     async fn follow(&self, vm: &VmName, query: GetFeed, time: Duration) -> Option<PeerUpdate> {
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -68,7 +68,7 @@
             if peers
                 .partitions
                 .first()
-                .is_some_and(|partition| peers.is_fetched(partition))
+                .is_some_and(|partition| peers.is_complete(partition))
             {
                 self.update_placement();
             } else {
--- a/crates/gateway/src/peers/register.rs
+++ b/crates/gateway/src/peers/register.rs
@@ -17,8 +17,8 @@
 
 /// Size of the secret before its hexadecimal encoding.
 const SECRET_BYTES: usize = 24;
-/// Maximum random delay before a missing secret is generated: of hundreds of routers that start
-/// together, all would write one.
+/// Maximum random delay before a missing secret is generated: otherwise hundreds of routers that
+/// start together would each write one.
 const MAX_DRAW_DELAY: Duration = Duration::from_millis(300);
 /// Pause after the first failed registration.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
--- a/crates/gateway/src/quarantine/gossip.rs
+++ b/crates/gateway/src/quarantine/gossip.rs
@@ -48,13 +48,13 @@
     quarantine: Arc<Quarantine>,
     peers: Arc<Peers>,
     store: Arc<dyn Store>,
-    part: u32,
+    partition: u32,
 ) {
     let mut calls = JoinSet::new();
     let undelivered = watch::Sender::new(Vec::new());
     let writer = Writer {
         store,
-        partition: part,
+        partition,
         key: format!("{KEY_PREFIX}{}", quarantine.vm),
         producer: format!("{}/{:016x}/ended", quarantine.vm, rand::random::<u64>()),
         sequence: 0,
--- a/crates/gateway/src/quarantine/history.rs
+++ b/crates/gateway/src/quarantine/history.rs
@@ -273,8 +273,9 @@
         extended
     }
 
-    /// Holds a request for `duration` from its last crash. All routers count from there, so they
-    /// release it at the same time no matter when they learned of it.
+    /// Holds a request for `duration` from its last crash. All routers count from there, so the
+    /// times at which they release it differ only by their staggers, no matter when they learned of
+    /// it.
     fn hold(&mut self, fingerprint: Fingerprint, duration: Duration) -> HeldRequest {
         let crashes = self
             .crashes
--- a/crates/gateway/src/quota/account.rs
+++ b/crates/gateway/src/quota/account.rs
@@ -11,9 +11,9 @@
 /// unreachable. The rest is free for routers that run short, and stays available after a loss of
 /// all machines.
 const HELD_FRACTION: f64 = 0.9;
-/// Fraction of the shares that is divided evenly, for callers who move to another router. The
-/// rest is divided by the rate of use, since callers mostly stay at their router. Even shares
-/// alone scored 0.03 to 0.05 lower, 0.13 to 0.21 lower on quiet days.
+/// Fraction of the shares that is divided evenly, for callers who move to another router. The rest
+/// is divided by the rate of use, since callers mostly stay at their router. Even shares alone had
+/// a benchmark score that was 0.03 to 0.05 lower, 0.13 to 0.21 lower on quiet days.
 const EVEN_FRACTION: f64 = 0.05;
 /// Requests of the largest size that a router's share should cover. When less remains, fewer
 /// routers share it: shares smaller than a request are useless.
@@ -28,11 +28,11 @@
 /// Fraction of its target that a router may spend before it records that in the account.
 const UNREPORTED_FRACTION: f64 = 0.1;
 
-/// Most tokens that a workspace may have prepaid. It keeps the sums over an account far below the
-/// range of `u64`, and is far above any real budget.
+/// Maximum number of tokens that a workspace may have prepaid. It keeps the sums over an account
+/// far below the range of `u64`, and is far above any real budget.
 pub const MAX_PREPAID: Tokens = 1 << 60;
-/// Most that all numbers of an account may add up to: each token is held, spent and needed once
-/// at most, and rates of use are below all three.
+/// Maximum sum of all numbers of an account: each token is held, spent and needed once at most, and
+/// rates of use are below all three.
 const MAX_SUM: u64 = 4 * MAX_PREPAID;
 
 /// Why an account can't be used.
--- a/crates/gateway/src/quota/cap.rs
+++ b/crates/gateway/src/quota/cap.rs
@@ -23,10 +23,11 @@
 const BASE_SECS: f64 = 0.3;
 /// The time to store the next cap is added to `BASE_SECS`, multiplied by this.
 const BASE_LAG_FACTOR: f64 = 2.0;
-/// Fraction of its quota that a process may spend at once in any case. It serves callers in the
-/// first seconds of a store outage, when caps hardly grow. It is also the most that is lost of
-/// ample quota: with 0.005, and a `GROWTH_FACTOR` of 0.2, quiet days with two outages of all
-/// routers scored 0.04 to 0.05 lower on three deployments, and days with faults the same.
+/// Fraction of its unspent tokens that a process may spend at once in any case. It serves callers
+/// in the first seconds of a store outage, when caps hardly grow. It is also the most that is lost
+/// of ample quota: with 0.005, and a `GROWTH_FACTOR` of 0.2, quiet days with two outages of all
+/// routers had a benchmark score that was 0.04 to 0.05 lower on three deployments, and days with
+/// faults the same.
 const BASE_FRACTION: f64 = 0.03;
 /// Growth of a cap before an outage is certain, as a multiple of the rate of use, where
 /// [`max_growth`] allows it. The growth is lost with a process that is killed, so it is below the
@@ -47,11 +48,12 @@
 const OUTAGE_AT: Duration = Duration::from_millis(2_200);
 /// Seconds of use that are added when the outage is certain: requests arrive in bursts.
 const OUTAGE_STEP_SECS: f64 = 2.0;
-/// Fraction of the process's quota that is added then in any case.
+/// Fraction of the process's unspent tokens that is added then in any case.
 const OUTAGE_STEP_FRACTION: f64 = 0.05;
 /// Growth of a cap in an outage, as a multiple of the rate of use, which may rise meanwhile.
 const OUTAGE_GROWTH_FACTOR: f64 = 1.5;
-/// Fraction of the process's quota by which a cap grows in any case in each second of an outage.
+/// Fraction of the process's unspent tokens by which a cap grows in any case in each second of an
+/// outage.
 const OUTAGE_GROWTH_FRACTION: f64 = 0.02;
 
 /// The most that a process can have spent, as a function of time.
@@ -120,9 +122,10 @@
     (rate as f64 * secs).max(unspent as f64 * BASE_FRACTION) as Tokens
 }
 
-/// Most tokens that a cap may grow by until the next process on the VM reads it. It keeps what all
-/// processes together strand in a power loss within 3 in 100 of `prepaid`: the process's `share` of
-/// that, by rate of use, less what is `committed` to running requests and the cap's base.
+/// Maximum number of tokens that a cap may grow by until the next process on the VM reads it. It
+/// keeps what all processes together strand in a power loss within 3 in 100 of `prepaid`: the
+/// process's `share` of that, by rate of use, less what is `committed` to running requests and the
+/// cap's base.
 ///
 /// Where `committed` alone exceeds the share there is no limit, since the bound is missed in any
 /// case and callers would be refused in each outage. Without growth there, the quiet day of a
--- a/crates/gateway/src/quota/claim.rs
+++ b/crates/gateway/src/quota/claim.rs
@@ -40,7 +40,8 @@
 const BACKOFF_MAX: Duration = Duration::from_millis(400);
 /// Longest random backoff after the first conflict with another router; doubles with each one.
 const CONFLICT_BACKOFF: Duration = Duration::from_millis(8);
-/// Attempts to write in one round, when other routers conflict with each.
+/// Maximum number of attempts to write in one round, or at shutdown, while appends of other routers
+/// conflict.
 const MAX_ATTEMPTS: u32 = 10;
 
 /// The running tasks.
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -14,19 +14,20 @@
 /// covers seconds of a workspace's use; claims of more routers take the store seconds when a fleet
 /// starts.
 const MAX_SMALL_FLEET: usize = 16;
-/// Fewest routers that an account of a small fleet is shared between before all members are known,
-/// so that the first ones don't take everything.
+/// Minimum number of routers that an account of a small fleet is meant to be shared between, also
+/// if the fleet has fewer, so that the first routers don't take everything while others still join.
 const MIN_SHARERS: usize = 8;
 /// Routers that hold an account in a large fleet. A loss of one, or of its failure domain, leaves
 /// two; with more of them, the last tokens of a budget are spread over more places.
 const HOLDERS: usize = 3;
-/// Most routers of a large fleet that hold accounts at all. Each other router keeps a connection
-/// to each of them, so the number of connections grows with the fleet's size and not its square.
+/// Maximum number of routers of a large fleet that hold accounts. Each other router keeps a
+/// connection to each of them, so the number of connections grows with the fleet's size and not its
+/// square.
 const MAX_CANDIDATES: usize = 24;
 /// A candidate should have at least the processor time of the strongest VM divided by this, since
 /// holders serve the callers of all other routers.
 const STRONG_DIVISOR: u32 = 2;
-/// Fewest candidates of a large fleet, whatever their processor time.
+/// Minimum number of candidates of a large fleet, whatever their processor time.
 const MIN_CANDIDATES: usize = 6;
 
 /// A router, from its entry in the members' feed.
--- a/crates/gateway/src/quota/peer_reservations.rs
+++ b/crates/gateway/src/quota/peer_reservations.rs
@@ -17,7 +17,7 @@
 use super::table::QuotaTable;
 use crate::dialect::Usage;
 
-/// How long after a request's longest duration its router may still release the reservation.
+/// Time after the timeout of a request during which its router may still release the reservation.
 const RELEASE_GRACE: Duration = Duration::from_secs(10);
 
 /// Identifies a reservation: the process that asked, and its number for the request.
--- a/crates/gateway/src/quota/reserver.rs
+++ b/crates/gateway/src/quota/reserver.rs
@@ -26,11 +26,11 @@
 use super::table::QuotaTable;
 use crate::dialect::Usage;
 
-/// Most refusals that one request gets from holders: those that an account is placed on, and one
-/// more.
+/// Maximum number of refusals that one request gets from holders: those that an account is placed
+/// on, and one more.
 const MAX_REFUSALS: usize = 4;
-/// Most holders whose answers one request waits for without getting one: each costs it the time of
-/// a refusal.
+/// Maximum number of holders that may time out for one request: each costs it the time of a
+/// refusal.
 const MAX_TIMEOUTS: usize = 2;
 /// Time that a router that holds a share of the account itself gives its own claim before it asks
 /// others: a claim takes 10 ms while the store answers.
@@ -43,8 +43,8 @@
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between releases to the same holder, so that several are sent in one message.
 const RELEASE_PAUSE: Duration = Duration::from_millis(200);
-/// Most releases that are kept for an unreachable holder: some minutes of a busy router's
-/// requests. The oldest are dropped first, and the holder counts them as spent.
+/// Maximum number of releases that are kept for an unreachable holder: some minutes of a busy
+/// router's requests. The oldest are dropped first, and the holder counts them as spent.
 const MAX_PENDING_RELEASES: usize = 10_000;
 
 /// Sends calls to other routers.
@@ -77,9 +77,11 @@
     quotas: Arc<QuotaTable>,
     peers: Arc<dyn PeerClient>,
     process: u64,
+    /// Number of the next reservation.
     next: AtomicU64,
     /// Releases that are still to be sent.
-    ended: Mutex<HashMap<VmName, Vec<Ended>>>,
+    pending_releases: Mutex<HashMap<VmName, Vec<Ended>>>,
+    /// Wakes the task that sends releases.
     waker: Notify,
 }
 
@@ -157,7 +159,7 @@
             peers,
             process,
             next: AtomicU64::new(1),
-            ended: Mutex::default(),
+            pending_releases: Mutex::default(),
             waker: Notify::new(),
         })
     }
@@ -407,7 +409,7 @@
         });
         let error = match self.peers.call(vm, kind, time).await {
             Ok(reply::Kind::Released(_)) => return true,
-            Ok(_) => "wrong reply".to_owned(),
+            Ok(_) => "unexpected reply".to_owned(),
             Err(error) => error.to_string(),
         };
         event!(
@@ -422,7 +424,9 @@
 
     fn lock(&self) -> MutexGuard<'_, HashMap<VmName, Vec<Ended>>> {
         // No panic can leave the map half changed.
-        self.ended.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending_releases
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/gateway/src/rollout/codec.rs
+++ b/crates/gateway/src/rollout/codec.rs
@@ -14,7 +14,7 @@
     let rows = report.stats.rows.iter().map(|(key, stats)| TallyRow {
         route: key.route.to_string(),
         is_new: key.is_new,
-        done: stats.completed,
+        done: stats.finished,
         failed: stats.failed,
         first: trim_buckets(&stats.first_event),
         pauses: trim_buckets(&stats.gaps),
@@ -37,7 +37,7 @@
             is_new: row.is_new,
         };
         let stats = ResponseStats {
-            completed: row.done,
+            finished: row.done,
             failed: row.failed,
             first_event: fill_buckets(&row.first),
             gaps: fill_buckets(&row.pauses),
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -13,7 +13,7 @@
 mod reports;
 
 pub(crate) use codec::decode_report;
-pub use pool::{PoolRollout, ResponseKey};
+pub use pool::PoolRollout;
 pub(crate) use progress::Follower;
 pub(crate) use reporter::run;
 pub use reports::Reports;
--- a/crates/gateway/src/rollout/pool.rs
+++ b/crates/gateway/src/rollout/pool.rs
@@ -12,9 +12,6 @@
 use crate::catalog::ServerEntry;
 use crate::eligibility::Gate;
 
-/// Key under which a response is counted.
-pub type ResponseKey = StatsKey;
-
 /// State of one pool's rollout on this router.
 #[derive(Debug, Default)]
 pub struct PoolRollout {
@@ -133,31 +130,31 @@
     /// The key under which a response from a server of `version` is counted; `None` if responses
     /// aren't counted now.
     #[must_use]
-    pub fn response_key(&self, route: &Arc<str>, version: &VersionName) -> Option<ResponseKey> {
+    pub fn response_key(&self, route: &Arc<str>, version: &VersionName) -> Option<StatsKey> {
         if !self.is_counting.load(Relaxed) {
             return None;
         }
         let policy = self.policy();
         let order = policy.running()?;
-        Some(ResponseKey {
+        Some(StatsKey {
             route: Arc::clone(route),
             is_new: order.version == *version,
         })
     }
 
     /// Records the time to first event of a response.
-    pub fn on_first_event(&self, key: &ResponseKey, time: Micros) {
+    pub fn on_first_event(&self, key: &StatsKey, time: Micros) {
         self.stats().record_first_event(key, time);
     }
 
     /// Records the mean gap between the events of a response.
-    pub fn on_gap(&self, key: &ResponseKey, time: Micros) {
+    pub fn on_gap(&self, key: &StatsKey, time: Micros) {
         self.stats().record_gap(key, time);
     }
 
     /// Counts a finished response.
-    pub fn on_completed(&self, key: &ResponseKey, has_failed: bool) {
-        self.stats().record_completed(key, has_failed);
+    pub fn on_finished(&self, key: &StatsKey, has_failed: bool) {
+        self.stats().record_finished(key, has_failed);
     }
 
     /// Report of the statistics since the order.
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -27,7 +27,8 @@
 use crate::outcome::{Execution, Outcome};
 use crate::quota::Reservation;
 
-/// Maximum number of attempts of one request, also when no server executed it.
+/// Maximum number of attempts of one request, without those that were withheld, also when no server
+/// executed it.
 const MAX_ATTEMPTS: usize = 4;
 /// Maximum length in bytes of a response that is buffered before it is relayed. One that breaks
 /// off can then be replaced by the response of another server or by an error.
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -34,6 +34,7 @@
 }
 
 impl StreamEnd {
+    /// Name in logs and metrics; some are older terms that operators' tools match.
     fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "whole",
@@ -109,7 +110,8 @@
     }
 }
 
-/// Relays a stream of events: its body lasts as long as the server's.
+/// Relays a stream of events. The response ends when the server's does, or that of the last server
+/// that resumed the stream.
 pub(super) fn stream(
     exchange: Exchange,
     attempts: Attempts,
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -11,8 +11,8 @@
 /// How long new connections may still arrive after the router turns unready: the load balancer
 /// probes once a second and acts on the second failure.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_200);
-/// Part of the grace period that is reserved for returning quota, and the maximum time for
-/// announcing the last requests to holders.
+/// Part of the grace period that is reserved for returning quota, and the maximum time for sending
+/// the last releases to holders.
 const QUOTA_RETURN_TIME: Duration = Duration::from_millis(500);
 /// Part of the grace period that is left when the shutdown should be complete.
 const MARGIN: Duration = Duration::from_millis(300);
@@ -35,7 +35,7 @@
     sleep(BALANCER_DELAY.min(node.settings.grace / 3)).await;
     let left = end.saturating_duration_since(Instant::now());
     callers.stop(left.saturating_sub(QUOTA_RETURN_TIME)).await;
-    // Holders count as spent what they aren't told by then.
+    // Holders count reservations as spent if their releases don't arrive by then.
     reserver.flush(QUOTA_RETURN_TIME).await;
     let left = end.saturating_duration_since(Instant::now());
     claims.stop(left.max(QUOTA_RETURN_TIME)).await;
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -116,7 +116,7 @@
 /// A connection that no request uses.
 struct Idle {
     sender: Sender,
-    /// When the other side may close it, in milliseconds of the VM's steady clock, which also
+    /// When the other side may close it, in milliseconds of the VM's monotonic clock, which also
     /// advances while this VM is suspended.
     expires: u64,
 }
--- a/crates/gateway/src/watch/directory.rs
+++ b/crates/gateway/src/watch/directory.rs
@@ -24,8 +24,8 @@
 /// an entry that is removed later was removed by its server.
 const LAPSE_WINDOW: Duration = Duration::from_millis(300);
 
-/// Differences in the reported warm-up end up to this are ignored: entries are written every second
-/// or two and read a moment later.
+/// Maximum difference between two reported ends of the warm-up that counts as no change: entries
+/// are written every second or two and read a moment later.
 const COLD_JITTER: Duration = Duration::from_millis(500);
 
 /// The effect of a server's entry on the directory.
--- a/crates/gateway/src/watch/follow.rs
+++ b/crates/gateway/src/watch/follow.rs
@@ -23,8 +23,8 @@
 pub(super) const STARTUP_POLL_WAIT: Duration = Duration::from_millis(250);
 /// Time without an answer, beyond the wait of a poll, after which the store counts as lost and a
 /// second poll is sent. The store answers in 4 ms; on slow days it takes 60 times as long. A poll
-/// that was sent during a partition isn't answered when the partition ends, so this is also how
-/// long its end can go unnoticed.
+/// that was sent during a network partition isn't answered when that ends, so this is also how long
+/// the partition's end can go unnoticed.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Pause after a poll that found something: server entries arrive all the time, and each call has a
 /// cost. Well below the shortest bound, two seconds.
@@ -34,10 +34,10 @@
 /// Pause after the first failure; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum pause after failures: a change must be known two seconds after it was acknowledged, also
-/// right after a partition.
+/// right after a network partition.
 const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Applies the changes of a feed.
+/// Handler of a feed: applies its changes.
 pub(crate) trait Follow: Send + 'static {
     /// Applies an update and returns what is to be published to the followers of this router.
     fn take(&mut self, update: FeedUpdate) -> FeedUpdate;
@@ -96,7 +96,7 @@
 /// every poll never reads one: in a fleet of 89 VMs, the router with the fullest link got no
 /// configuration update for 5.3 s of an ordinary day. More than two polls waste bandwidth: with up
 /// to five, a fleet of 86 VMs read 61 MB from the store on a day with a large configuration during
-/// a partition, and 43 MB with two.
+/// a network partition, and 43 MB with two.
 #[derive(Default)]
 struct Polls {
     current: Option<Poll>,
@@ -144,18 +144,18 @@
 
 /// Follows a feed until the task is aborted. With a `relay`, the feed is received from other
 /// routers in a large fleet and while the store is lost.
-pub(crate) async fn run(mut reader: Reader, mut follower: impl Follow, relay: Option<Relay>) {
+pub(crate) async fn run(mut reader: Reader, mut handler: impl Follow, relay: Option<Relay>) {
     let mut upstream = Upstream::new();
     let mut store_poller = StorePoller::default();
     loop {
         if let Some(relay) = &relay
-            && upstream.receive(relay, &mut reader, &mut follower).await
+            && upstream.receive(relay, &mut reader, &mut handler).await
         {
             store_poller = StorePoller::default();
             continue;
         }
         store_poller
-            .poll(&mut reader, &mut follower, relay.as_ref())
+            .poll(&mut reader, &mut handler, relay.as_ref())
             .await;
         upstream.reset();
     }
@@ -186,7 +186,7 @@
     async fn poll(
         &mut self,
         reader: &mut Reader,
-        follower: &mut impl Follow,
+        handler: &mut impl Follow,
         relay: Option<&Relay>,
     ) {
         // After a loss the polls are short, to notice soon when the store is back.
@@ -199,16 +199,16 @@
             Ok(answer) => {
                 // The other poll would return nothing beyond what the next one does.
                 self.polls = Polls::default();
-                self.note_recovery(&answer, reader, follower, relay);
+                self.note_recovery(&answer, reader, handler, relay);
                 let update = reader.take(answer);
                 let has_changes = !update.changes.is_empty();
-                take(update, reader, follower, relay);
-                tick(reader, follower, relay);
+                take(update, reader, handler, relay);
+                tick(reader, handler, relay);
                 if has_changes {
                     sleep(POLL_PAUSE).await;
                 }
             }
-            Err(_silent) if self.polls.is_receiving() => tick(reader, follower, relay),
+            Err(_silent) if self.polls.is_receiving() => tick(reader, handler, relay),
             Err(error) => {
                 if self.lost_at.is_none() {
                     event!(warn, "store.lost", feed = reader.feed(), error = error);
@@ -217,9 +217,9 @@
                 if let Some(relay) = relay
                     && let Some(update) = relay.fetch(reader).await
                 {
-                    take(update, reader, follower, Some(relay));
+                    take(update, reader, handler, Some(relay));
                 }
-                tick(reader, follower, relay);
+                tick(reader, handler, relay);
                 let pause = self.backoff.max(min_pause(reader.feed(), relay));
                 sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
                 self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
@@ -232,7 +232,7 @@
         &mut self,
         answer: &Answer,
         reader: &Reader,
-        follower: &mut impl Follow,
+        handler: &mut impl Follow,
         relay: Option<&Relay>,
     ) {
         self.backoff = MIN_BACKOFF;
@@ -240,7 +240,7 @@
         let Some(since) = self.lost_at.take() else {
             if is_first && has_upstreams(reader.feed(), relay) {
                 // The upstreams may have failed because they had lost the store.
-                follower.store_recovered();
+                handler.store_recovered();
             }
             return;
         };
@@ -254,7 +254,7 @@
             late = is_late,
         );
         if !is_late {
-            follower.store_recovered();
+            handler.store_recovered();
         }
     }
 }
@@ -263,18 +263,18 @@
 pub(super) fn take(
     update: FeedUpdate,
     reader: &Reader,
-    follower: &mut impl Follow,
+    handler: &mut impl Follow,
     relay: Option<&Relay>,
 ) {
-    let published = follower.take(update);
+    let published = handler.take(update);
     if let Some(relay) = relay {
         relay.node.replicas.apply(reader.feed(), &published);
     }
 }
 
 /// Does what has become due and publishes the keys that expired.
-pub(super) fn tick(reader: &Reader, follower: &mut impl Follow, relay: Option<&Relay>) {
-    let removed = follower.tick();
+pub(super) fn tick(reader: &Reader, handler: &mut impl Follow, relay: Option<&Relay>) {
+    let removed = handler.tick();
     let Some(relay) = relay.filter(|_| !removed.is_empty()) else {
         return;
     };
--- a/crates/gateway/src/watch/replicas.rs
+++ b/crates/gateway/src/watch/replicas.rs
@@ -76,7 +76,8 @@
     pub vms: Vec<VmName>,
     /// Whether other routers follow this one.
     pub has_followers: bool,
-    /// Whether the upstreams follow other routers in turn.
+    /// Whether this router is a leaf of the relay tree, so that its upstreams follow other routers
+    /// in turn.
     pub is_leaf: bool,
 }
 
@@ -142,8 +143,9 @@
         self.records.insert(key, entry);
     }
 
-    /// A newer record differs from the known one only in what changes all the time. Followers
-    /// aren't notified, but a router that last read the store itself gets the new offset.
+    /// Replaces a record by a newer one that differs only in what changes all the time. Its
+    /// revision stays, so followers aren't notified; a router that asks by offset gets the new
+    /// record.
     fn refresh(&mut self, change: &Change) {
         if let Some(entry) = self.records.get_mut(change.key.as_str()) {
             entry.offset = change.offset;
@@ -231,9 +233,12 @@
         records.sort_by_key(|record| record.offset);
         let all = records.len();
         truncate_page(&mut records);
-        let is_whole = records.len() == all;
+        let is_last_page = records.len() == all;
         PeerPage {
-            age: replica.as_of.filter(|_| is_whole).map(|at| at.elapsed()),
+            age: replica
+                .as_of
+                .filter(|_| is_last_page)
+                .map(|at| at.elapsed()),
             records,
         }
     }
@@ -270,20 +275,20 @@
             ..PeerUpdate::default()
         };
         let mut bytes = 0;
-        let mut is_whole = true;
+        let mut is_last_page = true;
         for (key, entry) in replica.changes_after(revision) {
             if !is_new(entry) {
                 continue;
             }
             bytes += key.len() + entry.value.as_ref().map_or(0, Bytes::len);
             if bytes > MAX_UPDATE_BYTES && !update.page.records.is_empty() {
-                is_whole = false;
+                is_last_page = false;
                 break;
             }
             update.page.records.push(record(key, entry));
             update.revision = entry.revision;
         }
-        if is_whole {
+        if is_last_page {
             update.revision = replica.revision;
             update.end = replica.end;
             update.page.age = replica.as_of.map(|at| at.elapsed());
--- a/crates/gateway/src/watch/upstream.rs
+++ b/crates/gateway/src/watch/upstream.rs
@@ -13,11 +13,11 @@
 use super::replicas::{self, PeerUpdate, Upstreams};
 use crate::store::Feed;
 
-/// Maximum age of the data of a router with followers, as a divisor of the apply time (the time in
-/// which a change must be in force everywhere). Its followers notice staleness early enough to use
-/// another upstream.
+/// Maximum age of the data of a relay, which follows the roots, as a divisor of the apply time (the
+/// time in which a change must be in force everywhere). Its followers notice staleness early enough
+/// to use another upstream.
 const FRESH_DIVISOR: u32 = 4;
-/// The same for a router without followers.
+/// The same for a leaf, which follows relays; only later leaves of its domain may follow it.
 const LEAF_FRESH_DIVISOR: u32 = 2;
 /// Requests within the time for which data counts as fresh: an unanswered request is noticed, and
 /// the next one answered, before the data is stale.
@@ -79,7 +79,7 @@
         &mut self,
         relay: &Relay,
         reader: &mut Reader,
-        follower: &mut impl Follow,
+        handler: &mut impl Follow,
     ) -> bool {
         let Some(upstreams) = relay.peers.upstreams(reader.feed()) else {
             if self.started.elapsed() >= MEMBERSHIP_WAIT.mul_f64(1.0 + self.jitter) {
@@ -117,7 +117,7 @@
             };
             let age = update.page.age;
             let is_partial = age.is_none() && !update.page.records.is_empty();
-            self.take(vm.clone(), update, asked, relay, reader, follower);
+            self.take(vm.clone(), update, asked, relay, reader, handler);
             if is_partial {
                 return true;
             }
@@ -183,7 +183,7 @@
         asked: Instant,
         relay: &Relay,
         reader: &mut Reader,
-        follower: &mut impl Follow,
+        handler: &mut impl Follow,
     ) {
         if self
             .last
@@ -194,17 +194,17 @@
             event!(debug, "feed.followed", feed = reader.feed(), by = vm);
         }
         self.last = Some((vm, update.process, update.revision));
-        let is_whole = update.page.age.is_some();
+        let is_last_page = update.page.age.is_some();
         let mut keys = None;
         if update.is_complete {
             let records = update.page.records.iter();
             let live = records.filter(|record| record.value.is_some());
             self.keys.extend(live.map(|record| record.key.clone()));
-            keys = is_whole.then(|| std::mem::take(&mut self.keys));
+            keys = is_last_page.then(|| std::mem::take(&mut self.keys));
         }
         let update = reader.take_peer_update(update, keys, asked);
-        take(update, reader, follower, Some(relay));
-        super::follow::tick(reader, follower, Some(relay));
+        take(update, reader, handler, Some(relay));
+        super::follow::tick(reader, handler, Some(relay));
     }
 
     fn mark_failed(&mut self, vm: &VmName) {
@@ -225,12 +225,12 @@
     if let Feed::Members(_) = feed {
         return MEMBERS_MAX_AGE;
     }
-    let part = if upstreams.is_leaf {
+    let divisor = if upstreams.is_leaf {
         LEAF_FRESH_DIVISOR
     } else {
         FRESH_DIVISOR
     };
-    relay.node.settings.config_apply / part
+    relay.node.settings.config_apply / divisor
 }
 
 /// Maximum age of data that is sent to followers.
--- a/crates/gateway/tests/testsuite/cap.rs
+++ b/crates/gateway/tests/testsuite/cap.rs
@@ -39,7 +39,7 @@
 /// One VM loses power for three and a half seconds while its peers keep running. The time since its
 /// last record must be bounded by what peers have seen, not by its wall clock that may have jumped.
 #[test]
-fn sightings_of_peers_limit_the_effect_of_a_clock_jump() {
+fn clock_readings_of_peers_limit_the_effect_of_a_clock_jump() {
     let stamp = reading("a", 5_000, 1_000_000);
     let back = reading("b", 10, 1_003_500);
     let seen = Some(millis(3_600));
@@ -58,7 +58,7 @@
     /// A process reads its clock after it is asked, so the time since then is never underestimated,
     /// however late the answer arrives.
     #[test]
-    fn sighting_never_underestimates(
+    fn clock_reading_never_underestimates(
         asked in 0..10_000_u64,
         delay in 0..5_000_u64,
         stamp in 0..20_000_u64,
--- a/crates/gateway/tests/testsuite/clock.rs
+++ b/crates/gateway/tests/testsuite/clock.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 struct State {
     boots: u64,
-    /// Added to the time since `started` for the steady clock, in milliseconds.
+    /// Added to the time since `started` for the monotonic clock, in milliseconds.
     steady: u64,
     /// Added to the time since `started` and [`WALL_START`] for the wall clock, in milliseconds.
     jump: i64,
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Reboots the VM; its steady clock restarts at `steady` milliseconds.
+    /// Reboots the VM; its monotonic clock restarts at `steady` milliseconds.
     pub(crate) fn lose_power(&self, steady: u64) {
         let mut state = self.state.lock().expect("a lock");
         state.boots += 1;
--- a/crates/gateway/tests/testsuite/losses.rs
+++ b/crates/gateway/tests/testsuite/losses.rs
@@ -155,7 +155,7 @@
 /// Compares the cost of one VM's power loss without a peer that saw the router and with one.
 /// Without it, some seconds more of use are lost, since the clock may have jumped.
 #[tokio::test(start_paused = true)]
-async fn sighting_by_a_peer_avoids_the_allowance_for_a_clock_jump() {
+async fn clock_reading_by_a_peer_avoids_the_allowance_for_a_clock_jump() {
     let mut left = Vec::new();
     for is_seen in [false, true] {
         let store = Arc::new(MemStore::new());
--- a/crates/gateway/tests/testsuite/spread.rs
+++ b/crates/gateway/tests/testsuite/spread.rs
@@ -18,7 +18,7 @@
 
 use crate::quarantine::fingerprint;
 
-/// Most crashes that are allowed after the request is identified as their cause.
+/// Maximum number of crashes that are allowed after the request is identified as their cause.
 const MAX_LATE: usize = 3;
 /// Milliseconds after the third crash from which on crashes count: the shortest limit that users
 /// set.
--- a/crates/gateway/tests/testsuite/watch.rs
+++ b/crates/gateway/tests/testsuite/watch.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// A long poll that is sent during a partition isn't answered when the partition ends, so the next
+/// A long poll that is sent during a network partition isn't answered when that ends, so the next
 /// one must not be long either.
 #[tokio::test(start_paused = true)]
 async fn after_an_outage_polls_are_short() {
--- a/crates/rollout/src/aggregate.rs
+++ b/crates/rollout/src/aggregate.rs
@@ -72,9 +72,10 @@
     }
 }
 
-/// Subtracts the baseline. Saturates, since a process that restarted reports smaller counters.
+/// Subtracts the baseline. Saturates, since a later report of a process may have smaller counters,
+/// for instance if reports arrive out of order.
 fn subtract(row: &mut ResponseStats, baseline: &ResponseStats) {
-    row.completed = row.completed.saturating_sub(baseline.completed);
+    row.finished = row.finished.saturating_sub(baseline.finished);
     row.failed = row.failed.saturating_sub(baseline.failed);
     for (sum, count) in row.first_event.iter_mut().zip(baseline.first_event) {
         *sum = sum.saturating_sub(count);
--- a/crates/rollout/src/policy.rs
+++ b/crates/rollout/src/policy.rs
@@ -7,7 +7,7 @@
 
 use crate::order::{ExposureLimit, Order, Progress, Stage};
 
-/// Requests that a server gets.
+/// Kind of requests that a server gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Assignment {
     /// Regular requests.
@@ -29,7 +29,7 @@
     /// Versions replaced by a rollout; their servers terminate.
     replaced: HashSet<VersionName>,
     /// Whether all servers have the ordered version.
-    is_only: bool,
+    has_only_ordered: bool,
     /// Versions that appeared beside known ones, with the time of their first listing. An order for
     /// them may not have arrived yet.
     unconfirmed: HashMap<VersionName, u64>,
@@ -98,7 +98,7 @@
     pub fn set_versions(&mut self, versions: &HashSet<VersionName>, stamp: u64) {
         let ordered = self.order.as_ref().map(|order| &order.version);
         let mut all = versions.iter();
-        self.is_only = all.all(|version| Some(version) == ordered);
+        self.has_only_ordered = all.all(|version| Some(version) == ordered);
         if self.known.is_empty() {
             // No other version is in use that the order could move traffic from.
             self.known.clone_from(versions);
@@ -151,7 +151,7 @@
         self.replaced.remove(&order.version);
     }
 
-    /// The version reverted last.
+    /// The version reverted last; `None` once there is a newer order.
     fn reverted(&self) -> Option<&VersionName> {
         let progress = self.progress.as_ref()?;
         let is_newest = self
@@ -172,7 +172,7 @@
             return self.regular_assignment(version);
         };
         match (self.stage(), order.version == *version) {
-            (Stage::Ordered | Stage::Canary, true) if self.is_only => Assignment::Regular,
+            (Stage::Ordered | Stage::Canary, true) if self.has_only_ordered => Assignment::Regular,
             (Stage::Canary, true) => Assignment::Canary,
             (Stage::Ordered | Stage::Reverted, true) => Assignment::Excluded,
             (Stage::Shift | Stage::Completed, true) => Assignment::Regular,
--- a/crates/rollout/src/regression.rs
+++ b/crates/rollout/src/regression.rs
@@ -11,8 +11,8 @@
 
 use crate::stats::{LATENCY_BUCKETS, ResponseStats, StatsKey};
 
-/// Logarithm of the likelihood ratio above which a version is a regression. With a dozen routes and
-/// three comparisons each, fewer than one good version in a thousand is reverted.
+/// Logarithm of the likelihood ratio above which a new version counts as worse. With a dozen routes
+/// and three comparisons each, fewer than one good version in a thousand is reverted.
 const MAX_LOG_RATIO: f64 = 14.0;
 /// Minimum number of bad responses of a regression.
 const MIN_BAD: u64 = 4;
@@ -104,8 +104,8 @@
     let regression = Regression {
         route: route.cloned(),
         symptom: "failures",
-        new: (new.failed, new.completed),
-        old: (old.failed, old.completed),
+        new: (new.failed, new.finished),
+        old: (old.failed, old.finished),
     };
     is_significant(regression.old, regression.new).then_some(regression)
 }
--- a/crates/rollout/src/stats.rs
+++ b/crates/rollout/src/stats.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseStats {
     /// Responses, successful or failed.
-    pub completed: u64,
+    pub finished: u64,
     /// Responses that failed because of the server.
     pub failed: u64,
     /// Times to first event, by bucket.
@@ -44,7 +44,7 @@
 impl Default for ResponseStats {
     fn default() -> Self {
         Self {
-            completed: 0,
+            finished: 0,
             failed: 0,
             first_event: [0; LATENCY_BUCKETS],
             gaps: [0; LATENCY_BUCKETS],
@@ -55,7 +55,7 @@
 impl ResponseStats {
     /// Adds the counters of `other`.
     pub fn add(&mut self, other: &Self) {
-        self.completed += other.completed;
+        self.finished += other.finished;
         self.failed += other.failed;
         for (sum, count) in self.first_event.iter_mut().zip(other.first_event) {
             *sum += count;
@@ -85,9 +85,9 @@
     }
 
     /// Counts a finished response.
-    pub fn record_completed(&mut self, key: &StatsKey, has_failed: bool) {
+    pub fn record_finished(&mut self, key: &StatsKey, has_failed: bool) {
         let row = self.row(key);
-        row.completed += 1;
+        row.finished += 1;
         row.failed += u64::from(has_failed);
     }
 
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -161,7 +161,7 @@
             };
             fleet.stats[router].record_first_event(&key, first_event);
             fleet.stats[router].record_gap(&key, gap);
-            fleet.stats[router].record_completed(&key, failed);
+            fleet.stats[router].record_finished(&key, failed);
         }
         if tick % REPORT_TICKS != 0 {
             continue;
