--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -29,7 +29,7 @@
 
 /// One waiting entry.
 #[derive(Debug)]
-pub(crate) struct Waiter<T> {
+pub(crate) struct QueuedEntry<T> {
     pub(crate) ticket: u64,
     pub(crate) queued_at: Micros,
     /// Wait predicted at admission; 0 when a slot was free.
@@ -37,7 +37,7 @@
     pub(crate) entry: Entry<T>,
 }
 
-impl<T> Waiter<T> {
+impl<T> QueuedEntry<T> {
     /// Latest time to dispatch the entry, if it takes at least `needed` to be served.
     pub(crate) fn latest_dispatch(&self, needed: Micros) -> Micros {
         let needed = if self.predicted_wait == 0 { 0 } else { needed };
@@ -52,8 +52,8 @@
     pub(crate) schedule: RetrySchedule,
     pub(crate) predictor: WaitPredictor,
     spec: ClassSpec,
-    retries: VecDeque<Waiter<T>>,
-    new: VecDeque<Waiter<T>>,
+    retries: VecDeque<QueuedEntry<T>>,
+    new: VecDeque<QueuedEntry<T>>,
     arrivals: Ewma,
     services: Ewma,
     /// Since when the class has had waiting entries without a break.
@@ -111,19 +111,19 @@
         self.arrivals.per_sec(now)
     }
 
-    pub(crate) fn push(&mut self, waiter: Waiter<T>, arrival: Arrival, pass: f64) {
+    pub(crate) fn push(&mut self, queued: QueuedEntry<T>, arrival: Arrival, pass: f64) {
         // A class gets no credit for the time in which it was idle.
         self.pass = self.next_pass(pass);
         if self.len() == 0 {
-            self.backlog_since = Some(waiter.queued_at);
+            self.backlog_since = Some(queued.queued_at);
         }
         match arrival {
-            Arrival::Retry => self.retries.push_back(waiter),
-            Arrival::New => self.new.push_back(waiter),
+            Arrival::Retry => self.retries.push_back(queued),
+            Arrival::New => self.new.push_back(queued),
         }
     }
 
-    pub(crate) fn pop_front(&mut self) -> Option<Waiter<T>> {
+    pub(crate) fn pop_front(&mut self) -> Option<QueuedEntry<T>> {
         self.retries.pop_front().or_else(|| self.new.pop_front())
     }
 
@@ -170,9 +170,9 @@
         self.pass < other.pass
     }
 
-    pub(crate) fn remove(&mut self, ticket: u64) -> Option<Waiter<T>> {
+    pub(crate) fn remove(&mut self, ticket: u64) -> Option<QueuedEntry<T>> {
         for list in [&mut self.retries, &mut self.new] {
-            let position = list.iter().position(|waiter| waiter.ticket == ticket);
+            let position = list.iter().position(|queued| queued.ticket == ticket);
             if let Some(position) = position {
                 return list.remove(position);
             }
@@ -183,19 +183,19 @@
     /// Removes and returns the entries for which `is_removed` is true.
     pub(crate) fn remove_where(
         &mut self,
-        is_removed: impl Fn(&Waiter<T>) -> bool,
-    ) -> Vec<Waiter<T>> {
+        is_removed: impl Fn(&QueuedEntry<T>) -> bool,
+    ) -> Vec<QueuedEntry<T>> {
         let mut removed = Vec::new();
         for list in [&mut self.retries, &mut self.new] {
             if !list.iter().any(&is_removed) {
                 continue;
             }
             let all = std::mem::take(list);
-            for waiter in all {
-                if is_removed(&waiter) {
-                    removed.push(waiter);
+            for queued in all {
+                if is_removed(&queued) {
+                    removed.push(queued);
                 } else {
-                    list.push_back(waiter);
+                    list.push_back(queued);
                 }
             }
         }
@@ -204,7 +204,7 @@
 
     /// Earliest of the entries' latest dispatch times.
     pub(crate) fn next_expiry(&self, needed: Micros) -> Option<Micros> {
-        let waiters = self.retries.iter().chain(&self.new);
-        waiters.map(|waiter| waiter.latest_dispatch(needed)).min()
+        let all = self.retries.iter().chain(&self.new);
+        all.map(|queued| queued.latest_dispatch(needed)).min()
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -8,7 +8,7 @@
 //!   return some. [`shortfall`] decides what to do with a request that finds too little.
 //! * A [`Queue`] stands before the dispatch slots. It is bounded, weighted by priority
 //!   class and aware of deadlines, and it keeps capacity for the retry times it gives out.
-//! * A [`Limiter`] sets the number of slots so that the backend servers are busy but
+//! * A [`Limiter`] adapts the number of slots so that the backend servers are busy but
 //!   requests don't queue there.
 
 mod baseline;
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -36,9 +36,13 @@
 #[derive(Debug)]
 pub struct Limiter {
     policy: LimiterPolicy,
+    /// Current limit, in slots.
     limit: f64,
+    /// Lowest time to first token (µs), raised by [`BASELINE_GROWTH`] in each round.
     baseline: Option<f64>,
+    /// Moving average of the time to first token (µs).
     recent: Mean,
+    /// Samples in the current round.
     samples: u32,
 }
 
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -4,7 +4,7 @@
 
 use swiftlink_types::{ClassName, Micros, Refusal, RefusalKind};
 
-use crate::class_queue::{Arrival, ClassQueue, Waiter};
+use crate::class_queue::{Arrival, ClassQueue, QueuedEntry};
 use crate::retry::RetryPolicy;
 use crate::service::ServiceRate;
 use crate::sizer::micros;
@@ -155,13 +155,13 @@
         } else {
             Arrival::New
         };
-        let waiter = Waiter {
+        let queued = QueuedEntry {
             ticket: ticket.0,
             queued_at: now,
             predicted_wait: wait,
             entry,
         };
-        self.classes[index].push(waiter, arrival, self.pass);
+        self.classes[index].push(queued, arrival, self.pass);
         Ok(ticket)
     }
 
@@ -173,18 +173,18 @@
         }
         loop {
             let index = self.next_class()?;
-            let waiter = self.classes[index].pop_front()?;
-            if self.is_late(&waiter, now) {
-                self.expire(index, waiter, now);
+            let queued = self.classes[index].pop_front()?;
+            if self.is_late(&queued, now) {
+                self.expire(index, queued, now);
                 continue;
             }
             self.pass = self.classes[index].charge(now);
-            let waited = now.saturating_sub(waiter.queued_at);
+            let waited = now.saturating_sub(queued.queued_at);
             self.classes[index]
                 .predictor
-                .learn(waiter.predicted_wait, waited);
+                .learn(queued.predicted_wait, waited);
             self.in_flight += 1;
-            return Some((Ticket(waiter.ticket), waiter.entry));
+            return Some((Ticket(queued.ticket), queued.entry));
         }
     }
 
@@ -193,9 +193,9 @@
         for index in 0..self.classes.len() {
             let needed = self.min_service_time();
             let late =
-                self.classes[index].remove_where(|waiter| waiter.latest_dispatch(needed) < now);
-            for waiter in late {
-                self.expire(index, waiter, now);
+                self.classes[index].remove_where(|queued| queued.latest_dispatch(needed) < now);
+            for queued in late {
+                self.expire(index, queued, now);
             }
         }
         std::mem::take(&mut self.expired)
@@ -205,8 +205,8 @@
     pub fn drain(&mut self) -> Vec<Entry<T>> {
         let mut entries = Vec::new();
         for queue in &mut self.classes {
-            let waiters = queue.remove_where(|_waiter| true);
-            entries.extend(waiters.into_iter().map(|waiter| waiter.entry));
+            let all = queue.remove_where(|_queued| true);
+            entries.extend(all.into_iter().map(|queued| queued.entry));
         }
         entries
     }
@@ -228,8 +228,8 @@
     /// Removes a waiting entry whose caller has disconnected.
     pub fn cancel(&mut self, ticket: Ticket) -> Option<Entry<T>> {
         let mut classes = self.classes.iter_mut();
-        let waiter = classes.find_map(|queue| queue.remove(ticket.0))?;
-        Some(waiter.entry)
+        let queued = classes.find_map(|queue| queue.remove(ticket.0))?;
+        Some(queued.entry)
     }
 
     /// Frees the slot of an entry that was popped and served in `time`.
@@ -401,15 +401,15 @@
         Refusal::not_run(RefusalKind::Overloaded, "too much work is queued").with_retry(after)
     }
 
-    fn expire(&mut self, index: usize, waiter: Waiter<T>, now: Micros) {
-        let waited = now.saturating_sub(waiter.queued_at);
+    fn expire(&mut self, index: usize, queued: QueuedEntry<T>, now: Micros) {
+        let waited = now.saturating_sub(queued.queued_at);
         self.classes[index]
             .predictor
-            .learn(waiter.predicted_wait, waited);
-        let refusal = self.refuse(index, waiter.entry.key, now);
+            .learn(queued.predicted_wait, waited);
+        let refusal = self.refuse(index, queued.entry.key, now);
         self.expired.push(ExpiredEntry {
-            ticket: Ticket(waiter.ticket),
-            entry: waiter.entry,
+            ticket: Ticket(queued.ticket),
+            entry: queued.entry,
             refusal,
         });
     }
@@ -419,8 +419,8 @@
     }
 
     /// Whether it is too late to serve the entry. One that found a free slot is always tried.
-    fn is_late(&self, waiter: &Waiter<T>, now: Micros) -> bool {
-        waiter.predicted_wait > 0 && waiter.latest_dispatch(self.min_service_time()) < now
-            || waiter.entry.deadline <= now
+    fn is_late(&self, queued: &QueuedEntry<T>, now: Micros) -> bool {
+        queued.predicted_wait > 0 && queued.latest_dispatch(self.min_service_time()) < now
+            || queued.entry.deadline <= now
     }
 }
--- a/crates/admission/src/service.rs
+++ b/crates/admission/src/service.rs
@@ -16,8 +16,8 @@
 /// Service rate of a number of slots, from measured service times.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRate {
-    initial: Micros,
-    time: Mean,
+    initial_time: Micros,
+    mean_time: Mean,
 }
 
 impl ServiceRate {
@@ -25,20 +25,22 @@
     #[must_use]
     pub fn new(initial: Duration) -> Self {
         Self {
-            initial: initial.as_micros().max(1) as Micros,
-            time: Mean::new(SERVICE_GAIN),
+            initial_time: initial.as_micros().max(1) as Micros,
+            mean_time: Mean::new(SERVICE_GAIN),
         }
     }
 
     /// Takes the service time of one request.
     pub fn add(&mut self, time: Micros) {
-        self.time.add(time.max(1) as f64);
+        self.mean_time.add(time.max(1) as f64);
     }
 
     /// Mean service time.
     #[must_use]
     pub fn time(&self) -> Micros {
-        self.time.get().map_or(self.initial, |time| time as Micros)
+        self.mean_time
+            .get()
+            .map_or(self.initial_time, |time| time as Micros)
     }
 
     /// Requests per second that `slots` serve.
@@ -51,6 +53,7 @@
 /// Predicts the waits of one class, corrected by the waits that were measured.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitPredictor {
+    /// Mean ratio of the actual to the predicted wait.
     bias: Mean,
 }
 
--- a/crates/client/src/table/status.rs
+++ b/crates/client/src/table/status.rs
@@ -14,7 +14,7 @@
     ("stopping", "stopping, accepts no new requests"),
     (
         "declared-gone",
-        "its VM is retired, accepts no new requests",
+        "its VM is declared gone, accepts no new requests",
     ),
     ("no-configuration", "no configuration, refuses all requests"),
     (
--- a/crates/routing/src/expected.rs
+++ b/crates/routing/src/expected.rs
@@ -8,8 +8,8 @@
 
 /// Servers, in rendezvous order, that a hot prefix may be spread over.
 const MAX_RANKS: usize = 4;
-/// A server without an answer counts as stalled after this multiple of the expected time.
-const STALL_FACTOR: f64 = 2.0;
+/// A server counts as unresponsive when it hasn't answered for this multiple of the expected time.
+const UNRESPONSIVE_FACTOR: f64 = 2.0;
 /// Fraction of the golden ratio: an odd number with evenly spread bits (Fibonacci hashing).
 const GOLDEN_RATIO: u128 = 0x9e37_79b9_7f4a_7c15;
 /// Upper bound on the servers compared in one pick.
@@ -47,11 +47,11 @@
 /// Scores a few random servers and the preferred server of the prefix.
 ///
 /// The score is the expected time to the first token: the pool's time at the server's estimated
-/// load, multiplied by the server's slowness, at least the age of its unanswered requests, and
-/// increased by its share of errors. A server that probably has the prefix cached scores lower,
-/// unless its load is over the bound; then the next one in rendezvous order takes the prefix too. A
-/// prefix that is new to this router has no preferred server: placing it by hash would only
-/// unbalance the load.
+/// load, multiplied by the server's slowness, at least the mean age of its unanswered requests once
+/// that exceeds `UNRESPONSIVE_FACTOR` times the expected time, and increased by its share of
+/// errors. A server that probably has the prefix cached scores lower, unless its load is over the
+/// bound; then the next one in rendezvous order takes the prefix too. A prefix that is new to this
+/// router has no preferred server: placing it by hash would only unbalance the load.
 #[derive(Debug)]
 pub struct ExpectedWait {
     policy: ScorePolicy,
@@ -103,12 +103,12 @@
         } else {
             self.policy.remote_penalty
         };
-        let stalled = if unanswered > STALL_FACTOR * usual {
+        let unresponsive_time = if unanswered > UNRESPONSIVE_FACTOR * usual {
             unanswered
         } else {
             0.0
         };
-        usual.max(stalled) / (health * health) + remote_penalty
+        usual.max(unresponsive_time) / (health * health) + remote_penalty
     }
 
     /// The first server in the prefix's rendezvous order whose load is within the bound.
--- a/crates/routing/src/fleet/choose.rs
+++ b/crates/routing/src/fleet/choose.rs
@@ -88,9 +88,9 @@
 ///
 /// When links fail for some milliseconds, one after the other, a whole pool may be ejected for a
 /// second although all but one of its servers can be reached. Another connection attempt takes a
-/// millisecond and spares callers a refusal. Without it, with random link failures of up to 50 ms
-/// before three servers and sixteen callers, callers were refused in one run of nine; with it in
-/// none of forty.
+/// millisecond and spares callers a refusal. With links to three servers failing at random for up
+/// to 50 ms, under sixteen callers, some were refused in one run of nine without it, and in none of
+/// forty with it.
 fn last_resort(view: &View<'_>, ejected: &[u32]) -> Option<u32> {
     let candidates = ejected
         .iter()
--- a/crates/routing/src/fleet/cold.rs
+++ b/crates/routing/src/fleet/cold.rs
@@ -32,8 +32,8 @@
 /// fleet can take the whole load for the seconds of a warm-up.
 const MIN_WARM_SHARE: f64 = 0.5;
 /// Burst of the token bucket beyond one request, in seconds of its rate. Requests come in bursts,
-/// but all routers may spend what they saved at the same time. Without it, 8
-/// routers refuse half of 30 requests per second before 12 cold servers (`tests/cold.rs`).
+/// but all routers may spend what they saved at the same time. Without the burst, 8 routers refuse
+/// half of 30 requests per second before 12 cold servers (`tests/cold.rs`).
 const BURST_SECS: f64 = 0.25;
 
 /// The cold servers of a pool, and the token bucket that limits what this router sends them.
@@ -44,7 +44,7 @@
     indices: Vec<u32>,
     /// When the first of them becomes warm.
     next_warm: Micros,
-    /// Latest time of a call.
+    /// Latest time that a caller has passed.
     now: Micros,
     /// Requests that may be sent, as of `filled_at`.
     tokens: f64,
--- a/crates/routing/src/fleet/isolation.rs
+++ b/crates/routing/src/fleet/isolation.rs
@@ -16,8 +16,9 @@
 /// gap, to isolate it. The estimate of a speed varies by a tenth.
 const ISOLATE_THRESHOLD: (f64, f64) = (1.15, 0.9);
 
-/// The same for a server to stay isolated (hysteresis). Without long prompts its streams stall
-/// less, and each change moves the prefill of shared prompt parts to other servers.
+/// Lower thresholds, of the same two values, at which an isolated server stays isolated
+/// (hysteresis). Without long prompts its streams stall less, and each change moves the prefill of
+/// shared prompt parts to other servers.
 const KEEP_THRESHOLD: (f64, f64) = (1.07, 0.6);
 
 /// Weight of a prompt in the mean prefill length.
--- a/crates/routing/src/fleet/peers.rs
+++ b/crates/routing/src/fleet/peers.rs
@@ -27,7 +27,7 @@
         self.cached.touch(key, args.now);
     }
 
-    /// Drains the observations that peers don't have yet.
+    /// Removes and returns the observations that peers don't have yet.
     pub fn take_updates(&mut self) -> Vec<ServerUpdate> {
         let mut updates = Vec::new();
         for index in self.by_name.values() {
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -38,6 +38,7 @@
     /// Own requests in flight at past times, oldest first.
     history: VecDeque<(Micros, u32)>,
     report: Option<LoadReport>,
+    /// When the last report was made: its arrival less its age.
     made_at: Micros,
     /// Requests of other routers, averaged over the reports.
     others: f64,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -28,7 +28,7 @@
     pub prefix: u64,
     /// Length of the prompt; zero when unknown.
     pub prompt: Prompt,
-    /// Time to the first event that the caller aims for.
+    /// Target for the time to the first event.
     pub ttft_target: Micros,
     /// Servers that were tried for this request.
     pub exclude: &'a [ServerIdx],
--- a/crates/routing/src/prefill_isolation.rs
+++ b/crates/routing/src/prefill_isolation.rs
@@ -11,20 +11,20 @@
 /// Weight of a request in the mean prompt length.
 const EWMA_WEIGHT: f64 = 1.0 / 64.0;
 /// Weight of the prefill time of the request's own prompt: all requests behind it wait for that
-/// too. Insensitive: 4 behaves like 2.
+/// too. Values of 2 and 4 gave the same results.
 const OWN_WEIGHT: f64 = 2.0;
-/// Fraction of the target for the first event that may pass before waiting counts. Insensitive: 0.5
-/// behaves like 0.25.
+/// Fraction of the target for the first event that may pass before waiting counts. Values of 0.25
+/// and 0.5 gave the same results.
 const FREE_WAIT: f64 = 0.25;
 
-/// Chooses the first server in the prefix's rendezvous order that isn't overloaded, among those for
-/// prompts of its length.
+/// Chooses the server with the least prefill work, preferably among those that are eligible for
+/// prompts of its length and not overloaded. Ties are broken by the prefix's rendezvous order.
 ///
 /// Where the servers of a pool differ in speed, long prompts stall the streams of the slower ones
 /// for longer than callers accept ([`View::is_isolated`]). These servers get prompts that are
 /// shorter than the mean, while their prefill backlog is small; the others get the rest. Where a
 /// third of the servers takes 1.3 times as long as the others, this lowers the share of streams
-/// with short prompts that pause for too long from a quarter to one in twelve.
+/// with short prompts whose gaps are too long from a quarter to one in twelve.
 ///
 /// Among the eligible servers, the one with the least prefill time is chosen: its backlog, as far
 /// as this router and its peers know it, plus the tokens of this prompt that it hasn't cached. A
@@ -51,7 +51,7 @@
 struct Eligibility<'a> {
     view: &'a View<'a>,
     /// Whether the prompt goes to an isolated server.
-    is_isolated: bool,
+    wants_isolated: bool,
     /// Backlog from which on an isolated server is too busy (tokens).
     max_backlog: f64,
 }
@@ -63,11 +63,11 @@
     fn new(view: &'a View<'a>, length: u64, mean: f64) -> Self {
         let mut eligibility = Self {
             view,
-            is_isolated: true,
+            wants_isolated: true,
             max_backlog: mean,
         };
         let is_short = (length as f64) < mean;
-        eligibility.is_isolated =
+        eligibility.wants_isolated =
             is_short && view.open().iter().any(|index| eligibility.accepts(*index));
         eligibility
     }
@@ -77,7 +77,7 @@
             return false;
         }
         let is_isolated = self.view.is_isolated(index);
-        if !self.is_isolated {
+        if !self.wants_isolated {
             return !is_isolated;
         }
         is_isolated && (self.view.backlog(index) as f64) < self.max_backlog
@@ -100,7 +100,7 @@
         let eligibility = Eligibility::new(view, length, mean);
         let bound = bound(view, |index| eligibility.accepts(index));
         let preferred = preferred(view, &eligibility);
-        let mut best: Option<(Rank, u32)> = None;
+        let mut best: Option<(Suitability, u32)> = None;
         for (index, hash) in view.open().iter().copied().zip(view.hashes()) {
             if !view.can_take(index) {
                 continue;
@@ -115,7 +115,7 @@
             let own = view.prefill_time(index, prefill);
             let wait = view.prefill_time(index, view.backlog(index)) + own
                 - FREE_WAIT * view.args().ttft_target as f64;
-            let rank = Rank {
+            let rank = Suitability {
                 is_eligible: eligibility.accepts(index),
                 is_below_bound: f64::from(server.load().in_flight()) <= bound,
                 work: wait.max(0.0) + OWN_WEIGHT * own,
@@ -132,8 +132,8 @@
     }
 }
 
-/// Suitability of a server for a request.
-struct Rank {
+/// Sort key of a candidate server.
+struct Suitability {
     is_eligible: bool,
     is_below_bound: bool,
     /// Prefill time that it costs this caller and others (µs).
@@ -141,7 +141,7 @@
     weight: u64,
 }
 
-impl Rank {
+impl Suitability {
     fn is_better(&self, other: &Self) -> bool {
         let tier =
             (self.is_eligible, self.is_below_bound).cmp(&(other.is_eligible, other.is_below_bound));
--- a/crates/routing/src/recent.rs
+++ b/crates/routing/src/recent.rs
@@ -7,7 +7,7 @@
 
 /// Entries of the table; a power of two.
 const ENTRIES: usize = 4_096;
-/// Age at which a prefix counts as new again, as caches evict it (µs).
+/// Age at which a prefix counts as new again (µs): by then server caches have usually evicted it.
 const MAX_AGE: Micros = 300_000_000;
 
 /// A direct-mapped table of recent prefixes. A collision evicts the older one, which costs it one
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -14,8 +14,8 @@
 /// [`Self::on_request`], the bucket also holds what recent requests have put in: when many servers
 /// fail at once, a router of a large fleet needs more retries in a second than its part of the
 /// burst allows. With 295 routers whose part of the burst is one retry, and a quarter of 240
-/// servers lost at once, this lowered refusals from 1.0 to 0.4 in 100 requests, together with not
-/// charging the budget for refused connections.
+/// servers lost at once, refusals fell from 1.0 to 0.4 in 100 requests of a day, partly because
+/// refused connections no longer use up retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     level: AtomicU64,
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -58,7 +58,8 @@
     pub(crate) is_local: bool,
     /// Whether it is in the subset that this router uses.
     pub(crate) is_member: bool,
-    /// Whether its resource drains it, or it announced that it is draining.
+    /// Whether it gets no new requests: its configuration drains it, it announced that it is
+    /// draining, or a rollout excludes its version.
     pub(crate) is_drained: bool,
     /// Whether it takes canary requests, and no others.
     pub(crate) is_canary: bool,
@@ -85,7 +86,7 @@
     pub(crate) event_gap: EventGap,
     /// Its gap between events relative to the pool's median; 1 when unknown.
     pub(crate) gap_ratio: f64,
-    /// Whether it is kept free of long prompts.
+    /// Whether it is isolated from long prompts.
     pub(crate) is_isolated: bool,
     /// Prompt tokens that it has still to process.
     pub(crate) backlog: PrefillBacklog,
@@ -158,7 +159,8 @@
         &self.health
     }
 
-    /// Whether it is draining, by any of three signals: its resource, the VM list, its own answers.
+    /// Whether it is draining, by any of three signals: its [`ServerSpec`](crate::ServerSpec), the
+    /// VM list, its own answers.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.is_drained || self.is_vm_leaving || self.draining_at.is_some()
--- a/crates/routing/src/spec.rs
+++ b/crates/routing/src/spec.rs
@@ -42,7 +42,8 @@
     pub vm: Option<VmName>,
     /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether the operators drain it.
+    /// Whether it gets no new requests: its configuration drains it, it announced that it is
+    /// draining, or a rollout excludes its version.
     pub drain: bool,
     /// Whether it takes canary requests, and no others.
     pub is_canary: bool,
--- a/crates/routing/src/update.rs
+++ b/crates/routing/src/update.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other about backend servers.
+//! Updates that routers exchange about backend servers.
 
 use swiftlink_types::ServerInstance;
 
@@ -26,6 +26,6 @@
     pub(crate) prefixes: Vec<u64>,
 }
 
-/// Limit on the streams, and on the prefixes, of one server in an update; what exceeds it is dropped,
-/// and recording starts again with the next update.
+/// Maximum number of streams, and of prefixes, of one server in an update. Further ones are dropped
+/// until the update is taken.
 pub(crate) const MAX_UPDATE_ITEMS: usize = 32;
--- a/crates/stream/src/builder.rs
+++ b/crates/stream/src/builder.rs
@@ -11,7 +11,7 @@
     pub text: Option<String>,
     /// Finish reason reported by the engine.
     pub finish: Option<String>,
-    /// Tokens run.
+    /// Tokens that the engine reported as processed.
     pub usage: Usage,
     /// Other fields of the message: tool calls, a refusal, reasoning.
     pub message: Map<String, Value>,
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -44,7 +44,8 @@
     Malformed,
     /// The body exceeds the size limit.
     TooLarge,
-    /// The budget has no free quota at any router, according to the log and to the peers.
+    /// The budget's free tokens and the quota that routers hold, as far as known, don't cover the
+    /// request.
     NoBudget,
     /// The budget's quota is held by other routers or in quarantine for now.
     BudgetBusy,
@@ -52,7 +53,8 @@
     Overloaded,
     /// No backend server of the pool accepts requests.
     NoServer,
-    /// The log is unavailable, and the request must be recorded there before it may be executed.
+    /// The log is unavailable or too slow, and the request needs it before it may be executed: for
+    /// a claim of quota or for the record of its key.
     LogUnavailable,
     /// The process is shutting down, or its configuration is stale.
     Unavailable,
