--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -15,7 +15,7 @@
 //! - A top-up that would take a budget over `u64::MAX` is malformed.
 //! - A join of a known incarnation is answered with the incarnation's current phase: a
 //!   retired or released one stays so. The identities of the newest
-//!   [`MAX_FORGOTTEN_ROUTERS`] released incarnations are kept, so that a late copy of a
+//!   [`MAX_DROPPED_ROUTERS`] released incarnations are kept, so that a late copy of a
 //!   join can't bring one back.
 //! - A claim with `need > want` or without a sequence number is malformed. A claim on
 //!   a budget that was never topped up is granted 0. A claim that is granted 0 also
@@ -56,7 +56,7 @@
 
 pub use batch::BatchFate;
 pub use fold::Fold;
-pub use routers::MAX_FORGOTTEN_ROUTERS;
+pub use routers::MAX_DROPPED_ROUTERS;
 pub use serials::MAX_SERIALS;
 pub use shard::{CONFIG_STREAM, shard_of, stream_of};
 pub use view::{ActiveRouter, RetiredRouter};
--- a/crates/budget/src/lifecycle.rs
+++ b/crates/budget/src/lifecycle.rs
@@ -52,7 +52,7 @@
             return self.join_fate(inc, &join.address, active);
         }
         let newest = self.routers.newest(&inc.vm, &join.address);
-        if newest >= Some(inc.epoch) || self.routers.is_forgotten(&inc.vm, inc.epoch) {
+        if newest >= Some(inc.epoch) || self.routers.is_dropped(&inc.vm, inc.epoch) {
             return self.join_fate(inc, &join.address, false);
         }
         self.retire_older(&inc.vm, &join.address);
@@ -126,7 +126,7 @@
 
     /// Fate of a record about an incarnation that the stream doesn't hold (any more).
     fn missing_fate(&self, inc: &wire::Incarnation) -> FateKind {
-        if self.routers.is_forgotten(&inc.vm, inc.epoch) {
+        if self.routers.is_dropped(&inc.vm, inc.epoch) {
             return duplicate();
         }
         unknown()
--- a/crates/budget/src/routers.rs
+++ b/crates/budget/src/routers.rs
@@ -9,7 +9,7 @@
 
 /// Largest number of dropped incarnations whose identity is kept. Beyond that, the
 /// identity with the oldest epoch is evicted.
-pub const MAX_FORGOTTEN_ROUTERS: usize = 4_096;
+pub const MAX_DROPPED_ROUTERS: usize = 4_096;
 
 /// Process-local id of an incarnation.
 pub(crate) type RouterId = u32;
@@ -21,7 +21,7 @@
     by_vm: HashMap<Arc<str>, BTreeMap<u64, RouterId>>,
     next: RouterId,
     /// Addresses of dropped incarnations, by VM and epoch.
-    forgotten: BTreeMap<(Arc<str>, u64), Arc<str>>,
+    dropped: BTreeMap<(Arc<str>, u64), Arc<str>>,
 }
 
 impl Routers {
@@ -78,20 +78,20 @@
             .map(|(_, router)| router.epoch)
             .max();
         let of_vm = (Arc::from(vm), 0)..=(Arc::from(vm), u64::MAX);
-        let forgotten = self.forgotten.range(of_vm).rev();
-        let mut here = forgotten.filter(|(_, at)| &***at == address);
+        let dropped = self.dropped.range(of_vm).rev();
+        let mut here = dropped.filter(|(_, at)| &***at == address);
         known.max(here.next().map(|((_, epoch), _)| *epoch))
     }
 
     /// Whether this incarnation was released and dropped, with its identity on record.
-    pub(crate) fn is_forgotten(&self, vm: &str, epoch: u64) -> bool {
-        self.forgotten.contains_key(&(Arc::from(vm), epoch))
+    pub(crate) fn is_dropped(&self, vm: &str, epoch: u64) -> bool {
+        self.dropped.contains_key(&(Arc::from(vm), epoch))
     }
 
     /// VM, address and epoch of the dropped incarnations.
-    pub(crate) fn forgotten(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>, u64)> {
-        let forgotten = self.forgotten.iter();
-        forgotten.map(|((vm, epoch), address)| (vm, address, *epoch))
+    pub(crate) fn dropped(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>, u64)> {
+        let dropped = self.dropped.iter();
+        dropped.map(|((vm, epoch), address)| (vm, address, *epoch))
     }
 
     /// Drops a released incarnation that no key refers to, except for its identity.
@@ -113,13 +113,13 @@
     }
 
     fn remember_identity(&mut self, vm: Arc<str>, address: Arc<str>, epoch: u64) {
-        self.forgotten.insert((vm, epoch), address);
-        if self.forgotten.len() <= MAX_FORGOTTEN_ROUTERS {
+        self.dropped.insert((vm, epoch), address);
+        if self.dropped.len() <= MAX_DROPPED_ROUTERS {
             return;
         }
-        let oldest = self.forgotten.keys().min_by_key(|(vm, epoch)| (*epoch, vm));
+        let oldest = self.dropped.keys().min_by_key(|(vm, epoch)| (*epoch, vm));
         if let Some(oldest) = oldest.cloned() {
-            self.forgotten.remove(&oldest);
+            self.dropped.remove(&oldest);
         }
     }
 
--- a/crates/budget/src/snapshot.rs
+++ b/crates/budget/src/snapshot.rs
@@ -53,7 +53,7 @@
         });
     }
     // A released entry that no key refers to represents a dropped incarnation.
-    for (vm, address, epoch) in fold.routers.forgotten() {
+    for (vm, address, epoch) in fold.routers.dropped() {
         let vm = vm.to_string();
         entries.push(wire::RouterEntry {
             incarnation: Some(wire::Incarnation { vm, epoch }),
--- a/crates/budget/tests/rules.rs
+++ b/crates/budget/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use swiftlink_budget::{Fold, MAX_FORGOTTEN_ROUTERS, MAX_SERIALS, shard_of, stream_of};
+use swiftlink_budget::{Fold, MAX_DROPPED_ROUTERS, MAX_SERIALS, shard_of, stream_of};
 use swiftlink_log::{Fold as _, Step};
 use swiftlink_wire::log as wire;
 use wire::ChargeFate::{self, Charged, Duplicate, Overdrawn, VoidKey, VoidReleased};
@@ -302,7 +302,7 @@
     assert_eq!((left.serials_from, left.grants.len()), (0, 0));
     assert_eq!(charge(&mut fold, "v", 1, 10, 1), VoidReleased);
     assert_eq!(reload(&fold).encode(), fold.encode());
-    for epoch in 2..MAX_FORGOTTEN_ROUTERS as u64 + 10 {
+    for epoch in 2..MAX_DROPPED_ROUTERS as u64 + 10 {
         let vm = format!("vm{epoch}");
         for kind in [
             join(&vm, epoch, "a", 0),
@@ -312,7 +312,7 @@
             apply(&mut fold, &kind);
         }
     }
-    assert_eq!(state(&fold).routers.len(), MAX_FORGOTTEN_ROUTERS + 1);
+    assert_eq!(state(&fold).routers.len(), MAX_DROPPED_ROUTERS + 1);
 }
 
 #[test]
--- a/crates/client/src/api.rs
+++ b/crates/client/src/api.rs
@@ -175,13 +175,13 @@
     pub ledger: String,
     /// Sum of all top-ups.
     pub topped_up: u64,
-    /// Unspent quota held by routers.
+    /// Unspent grants held by routers.
     pub granted: u64,
     /// Amount charged for requests.
     pub charged: u64,
     /// Amount that is neither charged, granted nor quarantined.
     pub free: u64,
-    /// Quota of retired routers that isn't released yet.
+    /// Grants of retired routers that aren't released yet.
     pub quarantined: u64,
     /// Offset of the last folded record.
     pub offset: u64,
--- a/crates/client/src/table/status.rs
+++ b/crates/client/src/table/status.rs
@@ -9,8 +9,8 @@
 const CONFIG_STREAM: &str = "config";
 /// Placeholder of a missing value.
 const EMPTY_CELL: &str = "-";
-/// Explanations of the troubles that a router reports in its status.
-const TROUBLE_NOTES: [(&str, &str); 6] = [
+/// Explanations of the issues that a router reports in its status.
+const ISSUE_NOTES: [(&str, &str); 6] = [
     ("stopping", "stopping, accepts no new requests"),
     (
         "declared-gone",
@@ -138,7 +138,7 @@
     }
     let troubles = status.get("troubles").and_then(Value::as_array);
     for trouble in troubles.into_iter().flatten().filter_map(Value::as_str) {
-        let known = TROUBLE_NOTES.iter().find(|(slug, _)| *slug == trouble);
+        let known = ISSUE_NOTES.iter().find(|(slug, _)| *slug == trouble);
         notes.push(known.map_or(trouble, |(_, meaning)| meaning).to_owned());
     }
     notes.join("; ")
--- a/crates/ledger/src/batcher.rs
+++ b/crates/ledger/src/batcher.rs
@@ -90,8 +90,8 @@
 
     /// Queues an entry of records that go into the same batch.
     ///
-    /// Entries with charges are never dropped; others can be dropped before they are
-    /// sent, see [`Batcher::cancel`].
+    /// Entries with charges are never dropped. Others are when no caller waits for them any more
+    /// and they were not sent yet, see [`Batcher::cancel`].
     ///
     /// # Errors
     /// [`QueueFull`] when the batcher would exceed its limit.
@@ -114,8 +114,8 @@
         Ok(id)
     }
 
-    /// Drops an entry unless it was sent or holds charges. Returns whether it was
-    /// dropped; if so, it certainly won't be appended.
+    /// Drops an entry that no caller waits for, unless it was sent or holds charges. Returns
+    /// whether it was dropped; if so, it certainly won't be appended.
     pub fn cancel(&mut self, id: EntryId) -> bool {
         let Ok(at) = self.queue.binary_search_by_key(&id, |entry| entry.id) else {
             return false;
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -15,7 +15,7 @@
 /// Largest number of charges in one message.
 const MAX_MESSAGE_CHARGES: usize = 1_000;
 
-/// Numbers of charges that were and weren't report over.
+/// Numbers of charges that were and weren't handed over to a peer.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct HandoverReport {
     /// Stored by a peer.
--- a/crates/ledger/src/log_health.rs
+++ b/crates/ledger/src/log_health.rs
@@ -8,6 +8,7 @@
 
 use crate::clock::{Clock, UNKNOWN_AGE_MS};
 
+/// Value of `last_success` before the first answer.
 const NEVER: u64 = u64::MAX;
 
 /// Time of the log's last answer to any call.
--- a/crates/ledger/src/release.rs
+++ b/crates/ledger/src/release.rs
@@ -9,7 +9,7 @@
     /// A successor bound the same address on the same VM, which is impossible while the
     /// predecessor is running.
     Successor,
-    /// An operator declared that its VM is gone for good.
+    /// An operator declared its VM gone.
     Declared,
     /// Its VM left the VM list, and all budgets of which it holds tokens accept that as
     /// proof (`release = "listed"`), or it holds none.
--- a/crates/ledger/src/service.rs
+++ b/crates/ledger/src/service.rs
@@ -60,7 +60,7 @@
             | request::Kind::GetFeed(_)
             | request::Kind::Ends(_)
             | request::Kind::Tally(_)
-            | request::Kind::GetSeen(_) => Err(failure(FailureKind::NotServed, ROUTER_REQUEST)),
+            | request::Kind::GetSeen(_) => Err(failure(FailureKind::NotServed, NOT_A_ROUTER)),
         };
         let last = answer.unwrap_or_else(reply::Kind::Failure);
         // Fails if the caller has disconnected.
@@ -69,7 +69,7 @@
 }
 
 /// Failure detail for requests that only routers of the gateway answer.
-const ROUTER_REQUEST: &str = "a ledger holds no rights and follows no platform";
+const NOT_A_ROUTER: &str = "a ledger holds no rights and follows no platform";
 
 type ReplyResult = Result<reply::Kind, Failure>;
 
--- a/crates/ledger/src/vm_list.rs
+++ b/crates/ledger/src/vm_list.rs
@@ -13,7 +13,7 @@
 
 /// Interval between two reads.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after which a read fails.
+/// Timeout of a read of the VM list.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A [`VmTracker`] that is shared between tasks.
--- a/crates/ledger/tests/retirement.rs
+++ b/crates/ledger/tests/retirement.rs
@@ -1,4 +1,4 @@
-//! Retirement and release of routers on a VM that an operator declares gone for good.
+//! Retirement and release of routers on a VM that an operator declares gone.
 
 mod common;
 
--- a/crates/log/tests/http.rs
+++ b/crates/log/tests/http.rs
@@ -1,4 +1,4 @@
-//! How `HttpLog` maps responses and connection failures to errors, against a server server.
+//! How `HttpLog` maps responses and connection failures to errors, against a tiny TCP server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/resource/src/config.rs
+++ b/crates/resource/src/config.rs
@@ -29,7 +29,7 @@
     pub servers: BTreeMap<ServerName, Arc<Server>>,
     /// API keys by name.
     pub keys: BTreeMap<KeyName, Arc<Key>>,
-    /// Retirements by name of the permanently removed VM.
+    /// Retirements by name of the VM that is declared gone.
     pub retirements: BTreeMap<VmName, Arc<Retirement>>,
     resources: BTreeMap<Kind, BTreeMap<Arc<str>, Resource>>,
     keys_by_hash: HashMap<KeyHash, KeyName>,
@@ -101,7 +101,7 @@
         self.resources.values().map(BTreeMap::len).sum()
     }
 
-    /// Returns whether an operator declared the VM of this name permanently removed.
+    /// Returns whether an operator declared the VM of this name gone.
     #[must_use]
     pub fn is_retired(&self, vm: &str) -> bool {
         self.retirements.contains_key(vm)
--- a/crates/resource/src/kind.rs
+++ b/crates/resource/src/kind.rs
@@ -23,7 +23,7 @@
     Server,
     /// An API key of a workspace.
     Key,
-    /// An operator's declaration that a VM is permanently removed.
+    /// An operator's declaration that a VM is gone.
     Retirement,
 }
 
--- a/crates/resource/src/spec.rs
+++ b/crates/resource/src/spec.rs
@@ -152,10 +152,10 @@
     pub disabled: bool,
 }
 
-/// An operator's declaration that the VM of this name is permanently removed (powered off or
+/// An operator's declaration that the VM of this name is gone (powered off or
 /// erased).
 ///
-/// It replaces a proof of termination: the quota of the VM's routers is released.
+/// It replaces a proof of termination: the grants of the VM's routers are released.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retirement {
--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -38,9 +38,9 @@
     pub version: u64,
     /// Time of the last update; `None` before the first claim.
     pub updated_at: Option<Instant>,
-    /// Whether the last submission got no answer.
+    /// Whether the last submission of a claim got no answer; `log_out` in the dump.
     pub is_failed: bool,
-    /// Unassigned tokens of the budget.
+    /// Free tokens of the budget.
     pub free: Tokens,
     /// Tokens held by other incarnations.
     pub held_elsewhere: Tokens,
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -87,7 +87,7 @@
     pub pool: Arc<Pool>,
     /// The pool as declared.
     pub pool_spec: Arc<PoolSpec>,
-    /// Whether it must not run twice.
+    /// Whether it is non-idempotent: it must not run more than once.
     pub once: bool,
     /// Whether a peer router relayed it here.
     pub relayed: bool,
@@ -95,7 +95,8 @@
     pub deadline: Instant,
     /// Maximum cost (budget tokens).
     pub bound: Tokens,
-    /// Hash that identifies the request when its caller sends it again.
+    /// Hash that identifies the request when its caller sends it again: key of its queue entry
+    /// and choice of the first peer to relay to.
     pub identity: u64,
     /// The requested work.
     pub work: Work,
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -30,7 +30,8 @@
 /// Minimum time between two checks, so that a series of claims or wakeups can't keep a
 /// thread busy.
 const MIN_CYCLE_TIME: Duration = Duration::from_millis(5);
-/// Time between checks while requests wait that are answered from the last outcome.
+/// Time between checks while the waiting requests are answered from the last outcome of a
+/// claim.
 const WAITER_INTERVAL: Duration = Duration::from_millis(20);
 /// First and maximum delay between submissions of one record.
 const RETRY_BASE: Duration = Duration::from_millis(100);
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -27,7 +27,7 @@
 pub enum HealthIssue {
     /// The router is stopping.
     Stopping,
-    /// Its VM is declared permanently removed: all new work is refused.
+    /// Its VM is declared gone: all new work is refused.
     DeclaredGone,
     /// It has read no configuration since its start.
     NoConfiguration,
@@ -75,7 +75,7 @@
 pub struct HealthInputs {
     /// A planned stop has begun.
     pub stopping: bool,
-    /// An operator has declared its VM permanently removed.
+    /// An operator has declared its VM gone.
     pub retired: bool,
     /// How far the configuration can be trusted.
     pub trust: Trust,
--- a/crates/router/src/keys.rs
+++ b/crates/router/src/keys.rs
@@ -59,7 +59,7 @@
     }
 
     /// Puts `key` of `workspace` in use at wall time `now`. `evicted` is the creation
-    /// time before which the log has forgotten keys.
+    /// time before which the log has evicted keys.
     ///
     /// # Errors
     /// See [`KeyRefusal`].
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -40,7 +40,7 @@
     pub shard: u32,
     /// Identity on the stream.
     pub incarnation: Incarnation,
-    /// Creation time before which the log has forgotten keys.
+    /// Creation time before which the log has evicted keys.
     pub evicted_ms: WallMs,
     serial: AtomicU64,
     retired: AtomicBool,
--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -152,7 +152,7 @@
     server: &ServerName,
     stream: &str,
 ) -> String {
-    let seat = node.members.find(&call.budget);
+    let membership = node.members.find(&call.budget);
     let token = ResumeToken {
         key: call.key().as_bytes().to_vec(),
         workspace: call.workspace().to_string(),
@@ -164,7 +164,7 @@
         price: call.class.price,
         bound: call.bound,
         vm: node.settings.common.vm.clone(),
-        epoch: seat.map_or(0, |seat| seat.incarnation.epoch),
+        epoch: membership.map_or(0, |membership| membership.incarnation.epoch),
         once: call.once,
         chat,
     };
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -76,7 +76,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether an operator has declared this router's VM permanently gone.
+    /// Whether an operator has declared this router's VM gone.
     #[must_use]
     pub fn is_retired(&self) -> bool {
         self.config.load().is_retired(&self.settings.common.vm)
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -94,7 +94,8 @@
     }
 
     /// Notes a failed connection to the peer. Requests that already wait for it continue: a
-    /// router that shuts unreachable accepts no connections but completes its requests in flight.
+    /// router that is shutting down accepts no new connections but completes its requests in
+    /// flight.
     pub fn on_connect_failure(&self, address: SocketAddr) {
         let mut unreachable = self
             .unreachable
@@ -192,7 +193,7 @@
     /// Resolves once the peer counts as silent.
     pub async fn until_silent(&mut self) {
         if self.silent.wait_for(|silent| *silent).await.is_err() {
-            // Probing has ended because this process is shutting unreachable.
+            // Probing has ended because this process is shutting down.
             std::future::pending::<()>().await;
         }
     }
--- a/crates/router/src/pings.rs
+++ b/crates/router/src/pings.rs
@@ -20,8 +20,8 @@
 /// Time for which an answer is valid: two periods and a slow answer.
 const PONG_VALIDITY_MICROS: Micros = 2_500_000;
 /// Age of a ledger's last contact with the log from which the log counts as unavailable to it.
-/// A working log contacts each ledger at least every second.
-const LOG_DOWN_MICROS: Micros = 2_500_000;
+/// In service, a ledger gets an answer from the log at least every second.
+const OUTAGE_AGE_MICROS: Micros = 2_500_000;
 /// Age that a ledger reports (the largest `u32`) if it had no contact with the log since its
 /// start.
 pub const NO_CONTACT_MS: u64 = u32::MAX as u64;
@@ -32,7 +32,7 @@
     FreshnessPolicy {
         max_age: Micros::try_from(stale.as_micros()).unwrap_or(Micros::MAX),
         pong_validity: PONG_VALIDITY_MICROS,
-        outage_age: LOG_DOWN_MICROS,
+        outage_age: OUTAGE_AGE_MICROS,
     }
 }
 
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -11,7 +11,7 @@
 
 use crate::problem;
 
-/// Largest number of buffered channel of a streamed answer.
+/// Largest number of buffered pieces of a streamed answer.
 const MAX_PIECES: usize = 32;
 
 /// Reply to a request.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -247,8 +247,8 @@
             () = stop.cancelled() => return,
             changed = versions.changed() => if changed.is_err() { return },
         }
-        for seat in node.members.all() {
-            for account in seat.accounts() {
+        for membership in node.members.all() {
+            for account in membership.accounts() {
                 account.wake.notify_one();
             }
         }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves one admitted request: reserves quota, records the intent, runs the request and answers.
+//! Serves one admitted request: reserves quota, wins the intent, runs the request and answers.
 //!
 //! Each request runs in its own task on the thread of its caller's connection, so that it is
 //! still charged if the caller disconnects.
@@ -140,7 +140,7 @@
 #[derive(Debug)]
 pub struct HeldQuota {
     /// Keeps the membership in use for the request.
-    pub seat: WorkGuard,
+    pub guard: WorkGuard,
     /// Reserved quota, until a dispatch takes it over.
     pub reservation: Reservation,
 }
@@ -185,14 +185,14 @@
             Fallback::Refused(refusal, back) => return send_reply(back, Reply::Refused(refusal)),
         },
     };
-    let (seat, rights) = held.map(|held| (held.seat, held.reservation)).unzip();
+    let (guard, reservation) = held.map(|held| (held.guard, held.reservation)).unzip();
     let mut attempt = Attempt {
-        reservation: rights,
+        reservation,
         past: is_run.then(|| node.history.begin(&call.key_use, digest)),
         ..Attempt::default()
     };
     if call.once {
-        let Some(seat) = seat.as_ref() else {
+        let Some(guard) = guard.as_ref() else {
             return send_reply(reply, Reply::Refused(not_joined()));
         };
         if node.config.is_log_silent() {
@@ -200,7 +200,7 @@
         }
         let won = node
             .intents
-            .win(seat, &call.key_use, &call.budget, call.time_left())
+            .win(guard, &call.key_use, &call.budget, call.time_left())
             .await;
         match won {
             Ok(intent) => attempt.intent = Some(intent),
@@ -210,7 +210,7 @@
     let run = Run {
         node,
         call,
-        seat,
+        guard,
         attempt,
         record: Arc::downgrade(&record),
         carrier: None,
@@ -297,10 +297,10 @@
         return Ok(None);
     }
     let joined = node.members.find(&call.budget);
-    let Some(seat) = joined.and_then(|seat| seat.begin_work()) else {
+    let Some(guard) = joined.and_then(|membership| membership.begin_work()) else {
         return Err(no_membership());
     };
-    let account = seat.open(&call.budget, &node.claimers);
+    let account = guard.open(&call.budget, &node.claimers);
     let policy = WaitPolicy {
         deadline: call.deadline,
         claim_wait: Duration::from_millis(node.settings.claim_wait_ms),
@@ -311,11 +311,11 @@
         Phase::First => account.reserve(call.bound, policy, !call.relayed).await?,
         Phase::AfterRelay => account.reserve_locally(call.bound, policy).await?,
     };
-    if seat.is_retired() {
+    if guard.is_retired() {
         // Retired while waiting: quota of a retired membership is quarantined and must not be used.
         return Err(no_membership());
     }
-    Ok(Some(HeldQuota { seat, reservation }))
+    Ok(Some(HeldQuota { guard, reservation }))
 }
 
 /// Shortage of a router that can reserve no quota now.
@@ -334,7 +334,7 @@
     /// The request.
     pub call: Call,
     /// Membership that holds its quota; `None` if the request is free.
-    pub seat: Option<WorkGuard>,
+    pub guard: Option<WorkGuard>,
     /// Quota, intent and the dispatches so far.
     pub attempt: Attempt,
     /// Log record; dropped once its line is written.
@@ -347,7 +347,7 @@
     /// Charges `tokens` once, and returns the charge of the key, by this run or an earlier one.
     /// Waits until the charge is stored in another failure domain or the wait times out.
     pub async fn charge(&mut self, tokens: Tokens) -> Tokens {
-        let (Some(seat), Some(quota)) = (&self.seat, self.attempt.reservation.take()) else {
+        let (Some(guard), Some(quota)) = (&self.guard, self.attempt.reservation.take()) else {
             return 0;
         };
         let cost = self.call.cost(tokens);
@@ -355,7 +355,7 @@
         if cost > 0 {
             let charge = self.charge_of(tokens, cost);
             let hold = self.call.key_use.hold();
-            let (known, carrier) = self.node.settler.settle(seat, charge, hold).await;
+            let (known, carrier) = self.node.settler.settle(guard, charge, hold).await;
             before = known;
             self.carrier = Some(carrier);
         }
@@ -364,7 +364,7 @@
         if let Some(record) = self.record.upgrade() {
             record.charge(charged);
         }
-        if let Some(account) = seat.find(&self.call.budget) {
+        if let Some(account) = guard.find(&self.call.budget) {
             account.on_released();
         }
         charged
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -50,7 +50,7 @@
     /// Backoff between claims after the log answered that the budget is empty.
     #[serde(default = "defaults::claim_pause_ms")]
     pub claim_pause_ms: u64,
-    /// Longest wait of a non-idempotent request for its intent to be recorded.
+    /// Longest wait of a non-idempotent request for the log to decide its intent.
     #[serde(default = "defaults::intent_wait_ms")]
     pub intent_wait_ms: u64,
     /// Longest time for which a refusal waits until the log has released the reserved key.
--- a/crates/router/src/settle_late.rs
+++ b/crates/router/src/settle_late.rs
@@ -41,7 +41,7 @@
     let Run {
         node,
         call,
-        seat,
+        guard,
         attempt,
         ..
     } = run;
@@ -68,7 +68,7 @@
     }
     let tokens = usage.unwrap_or(interrupted.seen);
     let cost = swiftlink_types::cost(tokens, price).min(bound);
-    let (Some(seat), Some(quota)) = (seat, attempt.reservation) else {
+    let (Some(guard), Some(quota)) = (guard, attempt.reservation) else {
         return;
     };
     if cost > 0 {
@@ -79,7 +79,7 @@
             tokens,
             cost,
         };
-        node.settler.settle(&seat, charge, hold).await;
+        node.settler.settle(&guard, charge, hold).await;
     }
     if is_known {
         quota.settle(cost);
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -67,9 +67,13 @@
 /// Returns all unused quota and waits until the log has decided each return.
 async fn return_quota(node: &Node) {
     let mut returns = Vec::new();
-    for seat in node.members.all() {
-        for account in seat.accounts() {
-            returns.push(return_account(node, std::sync::Arc::clone(&seat), account));
+    for membership in node.members.all() {
+        for account in membership.accounts() {
+            returns.push(return_account(
+                node,
+                std::sync::Arc::clone(&membership),
+                account,
+            ));
         }
     }
     futures_util::future::join_all(returns).await;
@@ -77,7 +81,7 @@
 
 async fn return_account(
     node: &Node,
-    seat: std::sync::Arc<Membership>,
+    membership: std::sync::Arc<Membership>,
     account: std::sync::Arc<Account>,
 ) {
     account.grant.shrink(u64::MAX);
@@ -87,8 +91,11 @@
     if returned == 0 {
         return;
     }
-    let kind = record::Kind::GiveBack(account.give_back(&seat));
-    let decided = node.ledgers.submit(seat.shard, kind, RETURN_TIMEOUT).await;
+    let kind = record::Kind::GiveBack(account.give_back(&membership));
+    let decided = node
+        .ledgers
+        .submit(membership.shard, kind, RETURN_TIMEOUT)
+        .await;
     event!(
         info,
         "stop.returned",
--- a/crates/router/tests/peers.rs
+++ b/crates/router/tests/peers.rs
@@ -17,7 +17,8 @@
     Peers::new(Handle::current(), TaskTracker::new(), PERIOD, stop)
 }
 
-/// Binds a listener without accepting: the kernel takes connections, as for a bind_without_accepting process.
+/// Binds a listener without accepting: the kernel takes connections, as for a
+/// frozen process.
 fn bind_without_accepting() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/testkit/src/checker/rules.rs
+++ b/crates/testkit/src/checker/rules.rs
@@ -86,7 +86,7 @@
     check_accounts(history, Accounts::fold(&history.streams))
 }
 
-/// Like [`check`], with `accounts` in account of the history's log.
+/// Like [`check`], with `accounts` in place of the history's log.
 #[must_use]
 pub fn check_accounts(history: &History, accounts: Accounts) -> Vec<Violation> {
     let mut checker = Checker {
--- a/crates/testkit/src/recorder.rs
+++ b/crates/testkit/src/recorder.rs
@@ -6,7 +6,7 @@
 use crate::caller::Answer;
 use crate::checker::{Call, CallOutcome};
 
-/// Attributes of a request that are known before it is request.
+/// Attributes of a request that are known before it is sent.
 #[derive(Clone, Debug)]
 pub struct RequestInfo {
     /// Request key.
--- a/standins/src/engine/delivery.rs
+++ b/standins/src/engine/delivery.rs
@@ -1,7 +1,7 @@
 //! The order in which one connection gets a stream's events, including injected faults.
 //! Without I/O.
 
-/// Faults of one delivery, is_repeated from the switches when it starts.
+/// Faults of one delivery, read from the switches when it starts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Faults {
     /// Number of events after which the connection is reset.
--- a/standins/src/host.rs
+++ b/standins/src/host.rs
@@ -25,7 +25,8 @@
 /// Maximum size of a request body, in bytes.
 pub const BODY_LIMIT: usize = 32 << 20;
 
-/// Time after which a call from a cut caller is refused.
+/// Maximum time for which a call from a cut caller is held. It is refused then, or as soon as
+/// the cut ends.
 const CUT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which a held call checks whether the cut has ended.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
