--- a/crates/budget/src/routers.rs
+++ b/crates/budget/src/routers.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether this incarnation was released and dropped, with its identity on record.
-    pub(crate) fn is_forgotten(&self, vm: &str, epoch: u64) -> bool {
+    pub(crate) fn is_dropped(&self, vm: &str, epoch: u64) -> bool {
         self.dropped.contains_key(&(Arc::from(vm), epoch))
     }
 
