--- a/crates/bench/src/grants/holder.rs
+++ b/crates/bench/src/grants/holder.rs
@@ -22,9 +22,13 @@
 /// Result of the last claim.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimResult {
+    /// When the result arrived; `None` before the first claim.
     pub(crate) at: Option<Micros>,
+    /// Whether the last claim or return timed out.
     pub(crate) is_log_down: bool,
+    /// Free tokens of the budget.
     pub(crate) free: Tokens,
+    /// Unspent tokens that other holders have.
     elsewhere: Tokens,
     /// The other holders with the most quota.
     holders: Vec<(usize, Tokens)>,
@@ -33,9 +37,13 @@
 /// A request that waits for quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiter {
+    /// Index of the request among the arrivals.
     pub(crate) request: usize,
+    /// Tokens that the request reserves.
     pub(crate) cost: Tokens,
+    /// When the request began to wait.
     pub(crate) since: Micros,
+    /// Deadline by which the request must get quota.
     pub(crate) until: Micros,
     /// Whether it may be relayed to another holder.
     pub(crate) may_relay: bool,
@@ -44,6 +52,7 @@
 /// The claim or return that awaits a reply.
 #[derive(Debug)]
 pub(crate) struct Pending {
+    /// When the record was sent.
     pub(crate) since: Micros,
 }
 
@@ -55,12 +64,17 @@
     pub(crate) last_claim: ClaimResult,
     pub(crate) waiters: Vec<Waiter>,
     pub(crate) pending: Option<Pending>,
+    /// Sequence number of the last claim.
     pub(crate) seq: u64,
+    /// Available tokens below which the demand is evaluated at once.
     pub(crate) low: Tokens,
+    /// Number of holders that have quota on the budget, this one included.
     pub(crate) sharers: u32,
+    /// Tokens that were ever added to the budget, as far as the holder knows.
     pub(crate) topped_up: Tokens,
     /// Time of the next demand evaluation.
     pub(crate) poll_at: Micros,
+    /// Moving average of the latency of claims.
     claim_time: Micros,
 }
 
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -74,7 +74,7 @@
     history: Mutex<CrashHistory>,
     /// Whether any crash is known. If not, completed requests need no announcement.
     has_crashes: AtomicBool,
-    /// Number of held requests.
+    /// Number of requests that are held or were held recently.
     held: AtomicUsize,
     /// Incremented when a request is held.
     hold_events: watch::Sender<u64>,
